--- a/docs/docs_test.go
+++ b/docs/docs_test.go
@@ -19,8 +19,9 @@
 
 // sourceFile is a parsed Go file that is not a test.
 type sourceFile struct {
-	folder string // from the root, with slashes
-	syntax *ast.File
+	folder    string // from the root, with slashes
+	syntax    *ast.File
+	positions *token.FileSet // of all files
 }
 
 // sources parses all Go files of the repository that are not tests, testdata or the frozen reference.
@@ -50,7 +51,7 @@
 		if err != nil {
 			return err
 		}
-		files = append(files, sourceFile{filepath.ToSlash(filepath.Dir(relative)), syntax})
+		files = append(files, sourceFile{filepath.ToSlash(filepath.Dir(relative)), syntax, set})
 		return nil
 	})
 	if err != nil {
