--- a/decide/lease/receive.go
+++ b/decide/lease/receive.go
@@ -7,8 +7,8 @@
 	"wingmount/decide/placement"
 )
 
-// Receive accepts a request. What it confirms and releases counts at once; the lease is renewed by Answer. It returns
-// session 0 without an error for a process that closed its session. Errors wrap ErrMalformed, ErrSuperseded,
+// Receive accepts a request. The request's confirmations and releases take effect at once; Answer renews the lease. It
+// returns session 0 without an error for a process that closed its session. Errors wrap ErrMalformed, ErrSuperseded,
 // ErrReclaimRequired, ErrTooManySessions or ErrStaleRequest.
 func (g *Grantor) Receive(now time.Duration, request Request) (SessionID, error) {
 	g.advance(now)
@@ -19,7 +19,7 @@
 		g.supersededBy = max(g.supersededBy, request.Incarnation)
 	}
 	if g.supersededBy > 0 {
-		return 0, fmt.Errorf("%w: %d, and this one is %d", ErrSuperseded, g.supersededBy, g.incarnation)
+		return 0, fmt.Errorf("%w: got %d, own incarnation is %d", ErrSuperseded, g.supersededBy, g.incarnation)
 	}
 	if request.Replaces != 0 {
 		g.endSession(g.findSession(request.Node, request.Replaces))
@@ -39,37 +39,38 @@
 	return s.id, g.acceptReports(s, request)
 }
 
-// validate returns an error that wraps ErrMalformed if a request is out of bounds. The texts name fields by their JSON
-// names: claims are Reclaims, a share is a Quota.
+// validate returns an error that wraps ErrMalformed if a request is out of bounds. Error texts use the JSON names of
+// fields: claims are Reclaims, a share is a Quota.
 func (r Request) validate() error {
 	if r.Node == "" || len(r.Node) > MaxNameLength {
-		return fmt.Errorf("%w: a node's name of %d bytes", ErrMalformed, len(r.Node))
+		return fmt.Errorf("%w: node name has %d bytes, want 1 to %d", ErrMalformed, len(r.Node), MaxNameLength)
 	}
 	if r.Process == 0 || r.Process == r.Replaces {
-		return fmt.Errorf("%w: process %d replaces %d", ErrMalformed, r.Process, r.Replaces)
+		return fmt.Errorf("%w: process %d replaces %d: want two different processes, and the first not 0", ErrMalformed,
+			r.Process, r.Replaces)
 	}
 	if r.Incarnation > MaxIncarnation {
-		return fmt.Errorf("%w: incarnation %d", ErrMalformed, r.Incarnation)
+		return fmt.Errorf("%w: incarnation %d, want at most %d", ErrMalformed, r.Incarnation, MaxIncarnation)
 	}
 	if len(r.Unfinished) > MaxReports || len(r.Released) > MaxReports || len(r.Reclaims) > MaxReclaims {
-		return fmt.Errorf("%w: %d unfinished, %d released, %d claims", ErrMalformed,
+		return fmt.Errorf("%w: too many entries: %d unfinished, %d released, %d claims", ErrMalformed,
 			len(r.Unfinished), len(r.Released), len(r.Reclaims))
 	}
 	for _, reclaimed := range r.Reclaims {
 		if !validQuota(reclaimed.Quota) {
-			return fmt.Errorf("%w: destination %d is claimed with a share of %v", ErrMalformed,
+			return fmt.Errorf("%w: claim of destination %d: share is %v, want 0 to 1", ErrMalformed,
 				reclaimed.Destination, reclaimed.Quota)
 		}
 	}
 	return nil
 }
 
-// acceptReports accepts what a request of a session confirms, releases and reports as unfinished. Confirmations and
-// releases count even if the request is older than one that was received.
+// acceptReports processes the confirmations, releases and unfinished destinations of a session's request. Confirmations
+// and releases count even if a later request was received before.
 func (g *Grantor) acceptReports(s *session, request Request) error {
 	if request.Session == s.id {
 		if request.AppliedVersion > s.version {
-			return fmt.Errorf("%w: version %d is confirmed, and %d is the latest", ErrMalformed,
+			return fmt.Errorf("%w: request confirms version %d, latest version is %d", ErrMalformed,
 				request.AppliedVersion, s.version)
 		}
 		g.confirm(s, request.AppliedVersion)
@@ -85,7 +86,8 @@
 	return nil
 }
 
-// confirm lowers reservations to the quotas of an applied version: the holder uses nothing of an earlier version.
+// confirm lowers reservations to the quotas of an applied version, because the holder uses no quota of an earlier
+// version.
 func (g *Grantor) confirm(s *session, applied Version) {
 	if applied <= s.appliedVersion {
 		return
@@ -111,19 +113,20 @@
 	}
 }
 
-// releaseCounts reports whether a release ends a grant: only one that does not accept, and only under its latest epoch.
+// releaseCounts reports whether a release ends a grant: the grant must not be accepting, and the release must name its
+// latest epoch.
 func releaseCounts(granted *grant, release Release) bool {
 	return !granted.accepting && granted.epoch == release.Epoch
 }
 
-// release ends the reservations of grants that a holder has released.
+// release sets the quotas and reservations of released grants to 0.
 func (g *Grantor) release(s *session, releases []Release) {
 	for _, release := range releases {
 		a := g.allocations[release.Destination]
 		if a == nil {
 			continue
 		}
-		granted := a.grantOf(s)
+		granted := a.findGrant(s)
 		if granted == nil || granted.role == roleReleased {
 			continue
 		}
@@ -138,11 +141,11 @@
 	}
 }
 
-// addReported grants a session destinations that it has unfinished messages for, up to Config.MaxUnfinished.
+// addReported adds grants for the destinations of a session's unfinished messages, up to Config.MaxUnfinished.
 func (g *Grantor) addReported(s *session, unfinished []placement.DestinationID) {
 	for _, destination := range unfinished {
 		a := g.allocationFor(destination)
-		if a.grantOf(s) != nil || s.reportedGrants >= g.config.MaxUnfinished {
+		if a.findGrant(s) != nil || s.reportedGrants >= g.config.MaxUnfinished {
 			g.deleteAllocationIfUnused(a)
 			continue
 		}
