--- a/decide/lease/config.go
+++ b/decide/lease/config.go
@@ -6,7 +6,7 @@
 )
 
 // Config configures a grantor. Out-of-range values of Duration, MaxDrift, MaxSessions and MaxUnfinished are replaced by
-// defaults. The other fields have no default: 0 means 0, also for Slack, which the caller has to set to DefaultSlack.
+// defaults. The other fields have no default: 0 means 0, also for Slack, so the caller has to set DefaultSlack itself.
 type Config struct {
 	// Duration is the length of a lease by the holder's clock, from the sending of the holder's request.
 	Duration time.Duration
--- a/decide/lease/margins_test.go
+++ b/decide/lease/margins_test.go
@@ -139,7 +139,7 @@
 
 // A grantor must not end a session before the holder's lease has expired by the slowest clock. It waits from its latest
 // answer.
-func TestSessionExpiry(t *testing.T) {
+func TestSessionExpiresWaitAfterLatestAnswer(t *testing.T) {
 	for _, test := range []struct {
 		name    string
 		config  Config
@@ -352,7 +352,7 @@
 
 // A holder must not use its quota from the end of the lease on, however late the reply arrived, or after its clock has
 // gone back.
-func TestHolderLeaseExpiry(t *testing.T) {
+func TestHolderLeaseExpiresDurationAfterSending(t *testing.T) {
 	const sent, duration = 7 * time.Second, 9 * time.Second
 	for _, test := range []struct {
 		name     string
