--- a/decide/leadership/leadership_test.go
+++ b/decide/leadership/leadership_test.go
@@ -133,11 +133,11 @@
 	}
 	single := newModel(1, faults{})
 	single.settle(t)
-	single.pass(modelLeaderLease * 3 / 4)
+	single.advance(modelLeaderLease * 3 / 4)
 	if _, voters, ok := single.processes[0].elector.RequestVotes(single.processes[0].clock); !ok || len(voters) != 0 {
 		t.Errorf("single member: got a request %v to members %v, want a request to no member", ok, voters)
 	}
-	single.pass(modelLeaderLease / 2)
+	single.advance(modelLeaderLease / 2)
 	if !single.leading(single.processes[0]) {
 		t.Error("single member without the quorum: got not leading, want leading")
 	}
--- a/decide/lease/receive.go
+++ b/decide/lease/receive.go
@@ -19,7 +19,7 @@
 		g.supersededBy = max(g.supersededBy, request.Incarnation)
 	}
 	if g.supersededBy > 0 {
-		return 0, fmt.Errorf("%w: got %d, own incarnation is %d", ErrSuperseded, g.supersededBy, g.incarnation)
+		return 0, fmt.Errorf("%w: %d, and this one is %d", ErrSuperseded, g.supersededBy, g.incarnation)
 	}
 	if request.Replaces != 0 {
 		g.endSession(g.findSession(request.Node, request.Replaces))
@@ -39,26 +39,25 @@
 	return s.id, g.acceptReports(s, request)
 }
 
-// validate returns an error that wraps ErrMalformed if a request is out of bounds. Error texts use the JSON names of
-// fields: claims are Reclaims, a share is a Quota.
+// validate returns an error that wraps ErrMalformed if a request is out of bounds. Error texts are sent to the node and
+// use the JSON names of fields: claims are Reclaims, a share is a Quota.
 func (r Request) validate() error {
 	if r.Node == "" || len(r.Node) > MaxNameLength {
-		return fmt.Errorf("%w: node name has %d bytes, want 1 to %d", ErrMalformed, len(r.Node), MaxNameLength)
+		return fmt.Errorf("%w: a node's name of %d bytes", ErrMalformed, len(r.Node))
 	}
 	if r.Process == 0 || r.Process == r.Replaces {
-		return fmt.Errorf("%w: process %d replaces %d: want two different processes, and the first not 0", ErrMalformed,
-			r.Process, r.Replaces)
+		return fmt.Errorf("%w: process %d replaces %d", ErrMalformed, r.Process, r.Replaces)
 	}
 	if r.Incarnation > MaxIncarnation {
-		return fmt.Errorf("%w: incarnation %d, want at most %d", ErrMalformed, r.Incarnation, MaxIncarnation)
+		return fmt.Errorf("%w: incarnation %d", ErrMalformed, r.Incarnation)
 	}
 	if len(r.Unfinished) > MaxReports || len(r.Released) > MaxReports || len(r.Reclaims) > MaxReclaims {
-		return fmt.Errorf("%w: too many entries: %d unfinished, %d released, %d claims", ErrMalformed,
+		return fmt.Errorf("%w: %d unfinished, %d released, %d claims", ErrMalformed,
 			len(r.Unfinished), len(r.Released), len(r.Reclaims))
 	}
 	for _, reclaimed := range r.Reclaims {
 		if !validQuota(reclaimed.Quota) {
-			return fmt.Errorf("%w: claim of destination %d: share is %v, want 0 to 1", ErrMalformed,
+			return fmt.Errorf("%w: destination %d is claimed with a share of %v", ErrMalformed,
 				reclaimed.Destination, reclaimed.Quota)
 		}
 	}
@@ -70,7 +69,7 @@
 func (g *Grantor) acceptReports(s *session, request Request) error {
 	if request.Session == s.id {
 		if request.AppliedVersion > s.version {
-			return fmt.Errorf("%w: request confirms version %d, latest version is %d", ErrMalformed,
+			return fmt.Errorf("%w: version %d is confirmed, and %d is the latest", ErrMalformed,
 				request.AppliedVersion, s.version)
 		}
 		g.confirm(s, request.AppliedVersion)
--- a/decide/lease/session.go
+++ b/decide/lease/session.go
@@ -97,7 +97,7 @@
 		return nil, ErrReclaimRequired
 	}
 	if len(g.sessions) >= g.config.MaxSessions {
-		return nil, fmt.Errorf("%w: %d in all", ErrTooManySessions, len(g.sessions))
+		return nil, fmt.Errorf("%w: %d", ErrTooManySessions, len(g.sessions))
 	}
 	n := g.nodeFor(request.Node)
 	if len(n.sessions) >= maxSessionsPerNode {
