--- a/decide/placement/balance.go
+++ b/decide/placement/balance.go
@@ -6,46 +6,46 @@
 	"slices"
 )
 
-// ownedSlot is one slot of a destination that a node fills, with the load that comes with it.
+// ownedSlot is a filled slot of a destination, with its slot load.
 type ownedSlot struct {
 	index, slot int
-	part        load
+	slotLoad    load
 }
 
-// move gives a slot of a regular destination to another node.
+// move reassigns a slot of a regular destination to another node and updates the loads of both nodes.
 func (b *builder) move(index, slot int, to nodeIndex) {
 	owner := &b.ownersAt(index)[slot]
-	part := b.parts[index]
-	b.regular[*owner] -= part
-	b.regular[to] += part
+	slotLoad := b.slotLoads[index]
+	b.regular[*owner] -= slotLoad
+	b.regular[to] += slotLoad
 	*owner = to
 }
 
-// rebalanceRounds bounds how often relieve and raise take turns; two are enough but for rare cases.
-const rebalanceRounds = 16
+// maxRebalanceRounds limits how often rebalance repeats its steps; more than two rounds are rarely needed.
+const maxRebalanceRounds = 16
 
-// rebalance moves parts until all nodes are between their low load and their bound, or no single move helps
-// and no pair of moves was found.
+// rebalance moves slots until the load of every node is between its lower and upper bound, or until no single move
+// and no chain of two moves is found that helps.
 func (b *builder) rebalance() {
-	for range rebalanceRounds {
-		relieved := b.relieve()
-		raised := b.raise()
-		if !relieved && !raised && !b.exchange() {
+	for range maxRebalanceRounds {
+		movedFrom := b.moveFromOverloaded()
+		movedTo := b.moveToUnderloaded()
+		if !movedFrom && !movedTo && !b.moveInChains() {
 			return
 		}
 	}
 }
 
-// relieve moves parts away from nodes whose load without its largest part is over the bound.
-// It returns whether it moved any.
-func (b *builder) relieve() bool {
-	slotsByNode := b.slotsOwnedBy(func(node nodeIndex) bool { return b.regular[node] > b.bound[node] })
+// moveFromOverloaded moves slots away from nodes whose load without the largest slot exceeds the upper bound. It
+// reports whether it moved any slot.
+func (b *builder) moveFromOverloaded() bool {
+	slotsByNode := b.regularSlotsByNode(func(node nodeIndex) bool { return b.regular[node] > b.upperBound[node] })
 	movedAny := false
 	for {
 		moved := false
-		for _, node := range sortedKeys(slotsByNode) {
-			slotsByNode[node] = b.stillOwned(node, slotsByNode[node])
-			if b.relieveNode(node, slotsByNode[node]) {
+		for _, node := range sortedNodes(slotsByNode) {
+			slotsByNode[node] = b.dropMovedSlots(node, slotsByNode[node])
+			if b.moveFromNode(node, slotsByNode[node]) {
 				moved = true
 			}
 		}
@@ -56,34 +56,34 @@
 	}
 }
 
-// slotsOwnedBy returns the regular parts of each node that is chosen, the largest first.
-func (b *builder) slotsOwnedBy(chosen func(nodeIndex) bool) map[nodeIndex][]ownedSlot {
+// regularSlotsByNode returns the regular slots owned by each selected node, in descending order of slot load.
+func (b *builder) regularSlotsByNode(selected func(nodeIndex) bool) map[nodeIndex][]ownedSlot {
 	slotsByNode := map[nodeIndex][]ownedSlot{}
 	marked := make([]bool, len(b.topology.nodes))
-	chosenAny := false
+	selectedAny := false
 	for node := range marked {
-		marked[node] = chosen(nodeIndex(node))
-		chosenAny = chosenAny || marked[node]
+		marked[node] = selected(nodeIndex(node))
+		selectedAny = selectedAny || marked[node]
 	}
-	if !chosenAny {
+	if !selectedAny {
 		return slotsByNode
 	}
 	for index := range b.ids {
 		for slot, node := range b.ownersAt(index) {
 			if node != noNode && marked[node] && !b.isLarge[index] {
-				slotsByNode[node] = append(slotsByNode[node], ownedSlot{index, slot, b.parts[index]})
+				slotsByNode[node] = append(slotsByNode[node], ownedSlot{index, slot, b.slotLoads[index]})
 			}
 		}
 	}
-	for _, parts := range slotsByNode {
-		slices.SortFunc(parts, func(left, right ownedSlot) int {
-			return cmp.Or(cmp.Compare(right.part, left.part), cmp.Compare(left.index, right.index))
+	for _, slots := range slotsByNode {
+		slices.SortFunc(slots, func(left, right ownedSlot) int {
+			return cmp.Or(cmp.Compare(right.slotLoad, left.slotLoad), cmp.Compare(left.index, right.index))
 		})
 	}
 	return slotsByNode
 }
 
-func sortedKeys(slotsByNode map[nodeIndex][]ownedSlot) []nodeIndex {
+func sortedNodes(slotsByNode map[nodeIndex][]ownedSlot) []nodeIndex {
 	nodes := make([]nodeIndex, 0, len(slotsByNode))
 	for node := range slotsByNode {
 		nodes = append(nodes, node)
@@ -92,35 +92,36 @@
 	return nodes
 }
 
-// stillOwned drops the parts that have moved away from the node.
-func (b *builder) stillOwned(node nodeIndex, parts []ownedSlot) []ownedSlot {
-	return slices.DeleteFunc(parts, func(owned ownedSlot) bool { return b.ownersAt(owned.index)[owned.slot] != node })
+// dropMovedSlots deletes the slots that the node no longer owns.
+func (b *builder) dropMovedSlots(node nodeIndex, slots []ownedSlot) []ownedSlot {
+	return slices.DeleteFunc(slots, func(owned ownedSlot) bool { return b.ownersAt(owned.index)[owned.slot] != node })
 }
 
-// relieveNode moves away parts of one node, but for its largest: first those that are not larger than the
-// excess, from the largest down, and then the smallest that go. It returns whether it moved any.
-func (b *builder) relieveNode(node nodeIndex, parts []ownedSlot) bool {
-	if len(parts) < 2 {
+// moveFromNode moves slots, except the largest, away from an overloaded node. It first moves slots that do not exceed
+// the remaining excess, in descending order of slot load, then any slots in ascending order. It reports whether it
+// moved any slot.
+func (b *builder) moveFromNode(node nodeIndex, slots []ownedSlot) bool {
+	if len(slots) < 2 {
 		return false
 	}
-	excess := func() load { return b.regular[node] - parts[0].part - b.bound[node] }
+	excess := func() load { return b.regular[node] - slots[0].slotLoad - b.upperBound[node] }
 	moved := false
-	for _, owned := range parts[1:] {
-		if excess() > 0 && owned.part <= excess() {
-			moved = b.moveAway(owned) || moved
+	for _, owned := range slots[1:] {
+		if excess() > 0 && owned.slotLoad <= excess() {
+			moved = b.moveToBest(owned) || moved
 		}
 	}
-	for i := len(parts) - 1; i > 0 && excess() > 0; i-- {
-		if b.ownersAt(parts[i].index)[parts[i].slot] == node {
-			moved = b.moveAway(parts[i]) || moved
+	for i := len(slots) - 1; i > 0 && excess() > 0; i-- {
+		if b.ownersAt(slots[i].index)[slots[i].slot] == node {
+			moved = b.moveToBest(slots[i]) || moved
 		}
 	}
 	return moved
 }
 
-// moveAway moves a part to the best node that has capacity for it.
-func (b *builder) moveAway(owned ownedSlot) bool {
-	to := b.pickWithCapacity(owned.index, owned.slot, capacityUpToBound)
+// moveToBest moves a slot to the best ranked node that has capacity for it. It reports whether there was one.
+func (b *builder) moveToBest(owned ownedSlot) bool {
+	to := b.pickWithCapacity(owned.index, owned.slot, capacityWithinBound)
 	if to == noNode {
 		return false
 	}
@@ -128,18 +129,18 @@
 	return true
 }
 
-// raise moves parts to nodes under their low load, from nodes over their fair load. Parts for which the
-// receiver is ranked before the owner come first. It returns whether it moved any.
-func (b *builder) raise() bool {
+// moveToUnderloaded moves slots from nodes above their fair load to nodes below their lower bound. It first moves the
+// slots for which the receiver ranks before the current owner. It reports whether it moved any slot.
+func (b *builder) moveToUnderloaded() bool {
 	receivers := b.newReceivers()
-	moved := b.raiseBy(receivers, false)
-	for b.raiseBy(receivers, true) {
+	moved := b.moveToReceivers(receivers, false)
+	for b.moveToReceivers(receivers, true) {
 		moved = true
 	}
 	return moved
 }
 
-// receivers are the nodes under their low load, by zone.
+// receivers contains the nodes below their lower bound, by zone.
 type receivers struct {
 	byZone [][]nodeIndex
 	zones  []zoneIndex
@@ -150,7 +151,7 @@
 	r := &receivers{byZone: make([][]nodeIndex, len(b.zones))}
 	for i := range b.zones {
 		for _, node := range b.zones[i].nodes {
-			if b.regular[node] < b.low[node] {
+			if b.regular[node] < b.lowerBound[node] {
 				r.byZone[i] = append(r.byZone[i], node)
 				r.count++
 			}
@@ -162,14 +163,14 @@
 	return r
 }
 
-// remove takes out a node that has enough.
+// remove deletes a node that has reached its lower bound.
 func (r *receivers) remove(zone zoneIndex, node nodeIndex) {
 	index := slices.Index(r.byZone[zone], node)
 	r.byZone[zone] = slices.Delete(r.byZone[zone], index, index+1)
 	r.count--
 }
 
-func (b *builder) raiseBy(receivers *receivers, anyRank bool) (moved bool) {
+func (b *builder) moveToReceivers(receivers *receivers, anyRank bool) (moved bool) {
 	for index := range b.ids {
 		if receivers.count == 0 {
 			return moved
@@ -177,15 +178,15 @@
 		if b.isLarge[index] {
 			continue
 		}
-		part := b.parts[index]
+		slotLoad := b.slotLoads[index]
 		for slot, owner := range b.ownersAt(index) {
-			if owner == noNode || !b.canGive(owner, part) {
+			if owner == noNode || !b.canDonate(owner, slotLoad) {
 				continue
 			}
-			if to := b.receiver(receivers, index, slot, anyRank); to != noNode {
+			if to := b.pickReceiver(receivers, index, slot, anyRank); to != noNode {
 				b.move(index, slot, to)
 				moved = true
-				if b.regular[to] >= b.low[to] {
+				if b.regular[to] >= b.lowerBound[to] {
 					receivers.remove(b.zoneOf[to], to)
 				}
 			}
@@ -194,20 +195,21 @@
 	return moved
 }
 
-// canGive reports whether the node may give away the part to one with less.
-func (b *builder) canGive(node nodeIndex, part load) bool {
-	return b.regular[node] > b.fair[node] && b.regular[node]-part >= b.low[node]
+// canDonate reports whether the node can give up a slot to an underloaded node: it is above its fair load and stays
+// at or above its lower bound.
+func (b *builder) canDonate(node nodeIndex, slotLoad load) bool {
+	return b.regular[node] > b.fair[node] && b.regular[node]-slotLoad >= b.lowerBound[node]
 }
 
-// receiver returns the best ranked receiver for a slot. Unless anyRank is set it has to be ranked before the
-// owner: in its own zone by the node, and in another by the zone.
-func (b *builder) receiver(receivers *receivers, index, slot int, anyRank bool) nodeIndex {
+// pickReceiver returns the best ranked receiver for a slot, or noNode. Unless anyRank is set, the receiver must rank
+// before the current owner: by node score within the same zone, by zone score otherwise.
+func (b *builder) pickReceiver(receivers *receivers, index, slot int, anyRank bool) nodeIndex {
 	owner, destination := b.ownersAt(index)[slot], b.ids[index]
 	ownerZone := b.zoneOf[owner]
-	used := b.usedZones(index, slot)
+	constraint := b.zoneConstraint(index, slot)
 	best, bestScore := noNode, math.Inf(1)
 	for _, zone := range receivers.zones {
-		if len(receivers.byZone[zone]) == 0 || used.closed(b, zone) || !b.scopeHas(index, zone) {
+		if len(receivers.byZone[zone]) == 0 || constraint.excludes(b, zone) || !b.inScope(index, zone) {
 			continue
 		}
 		if !anyRank && zone != ownerZone && b.zoneScore(zone, destination) >= b.zoneScore(ownerZone, destination) {
@@ -219,7 +221,8 @@
 		}
 		for _, node := range receivers.byZone[zone] {
 			score, lower := b.nodeScoreBelow(node, destination, limit)
-			if lower && b.hasCapacity(node, b.parts[index], capacityForPart) && !slices.Contains(used.owners, node) {
+			if lower && b.hasCapacity(node, b.slotLoads[index], capacityForSlot) &&
+				!slices.Contains(constraint.owners, node) {
 				best, bestScore, limit = node, score, score
 			}
 		}
@@ -227,8 +230,8 @@
 	return best
 }
 
-// scopeHas reports whether the destination may use the zone.
-func (b *builder) scopeHas(index int, zone zoneIndex) bool {
-	region := b.names[b.regions[index]]
+// inScope reports whether the destination may use the zone.
+func (b *builder) inScope(index int, zone zoneIndex) bool {
+	region := b.regionNames[b.regions[index]]
 	return region == "" || b.zones[zone].region == region
 }
--- a/decide/placement/compute.go
+++ b/decide/placement/compute.go
@@ -1,30 +1,31 @@
 package placement
 
-// compute makes the table of a normalized input.
+// compute returns the table for a normalized input.
 func compute(previous *Table, input Input) *Table {
 	b := newBuilder(input)
-	b.shareDestinations(previous)
-	b.preferLow = previous != nil
-	b.keep(previous)
-	b.findLarge()
-	b.placeLarge()
-	b.balanceAround()
-	b.fill(b.missing())
+	b.reuseDestinations(previous)
+	b.preferUnderloaded = previous != nil
+	b.retainOwners(previous)
+	b.findLargeDestinations()
+	b.placeLargeDestinations()
+	b.computeLoadBounds()
+	b.fillSlots(b.unfilledDestinations())
 	b.rebalance()
-	b.finish()
+	b.setLoads()
 	return b.Table
 }
 
-// balanceAround finds the fair loads around the large parts, the bounds, and the loads of what was kept.
-func (b *builder) balanceAround() {
-	fair := b.fairLoads(b.largeSum)
+// computeLoadBounds computes the fair loads around the placed large destinations, the bounds around the fair loads,
+// and the regular loads of the retained owners.
+func (b *builder) computeLoadBounds() {
+	fair := b.computeFairLoads(b.largeSum)
 	count := len(fair)
-	b.fair, b.low, b.bound = make([]load, count), make([]load, count), make([]load, count)
+	b.fair, b.lowerBound, b.upperBound = make([]load, count), make([]load, count), make([]load, count)
 	for node, total := range fair {
 		rest := max(0, total-float64(b.largeSum[node]))
-		b.fair[node] = loadFloor(rest)
-		b.low[node] = loadFloor(rest * max(0, 2-b.loadBound))
-		b.bound[node] = loadFloor(rest * b.loadBound)
+		b.fair[node] = floorToLoad(rest)
+		b.lowerBound[node] = floorToLoad(rest * max(0, 2-b.loadBound))
+		b.upperBound[node] = floorToLoad(rest * b.loadBound)
 	}
 	for index := range b.ids {
 		if b.isLarge[index] {
@@ -32,14 +33,15 @@
 		}
 		for _, node := range b.ownersAt(index) {
 			if node != noNode {
-				b.regular[node] += b.parts[index]
+				b.regular[node] += b.slotLoads[index]
 			}
 		}
 	}
 }
 
-// missing returns the indexes of regular destinations that need owners, the largest part first.
-func (b *builder) missing() []int {
+// unfilledDestinations returns the indexes of destinations with empty slots, in descending order of slot load. Large
+// destinations have none at this point.
+func (b *builder) unfilledDestinations() []int {
 	var indexes []int
 	for index := range b.ids {
 		wanted := b.ownersWanted(index)
@@ -47,36 +49,37 @@
 			indexes = append(indexes, index)
 		}
 	}
-	b.sortByPart(indexes)
+	b.sortBySlotLoad(indexes)
 	return indexes
 }
 
-// fill finds owners for the empty slots of the indexes.
-func (b *builder) fill(indexes []int) {
+// fillSlots assigns nodes to the empty slots of the destinations at the indexes. If no node has capacity, it picks
+// the node with the lowest load relative to its fair load.
+func (b *builder) fillSlots(indexes []int) {
 	for _, index := range indexes {
 		for slot := range b.ownersWanted(index) {
 			if b.ownersAt(index)[slot] != noNode {
 				continue
 			}
-			node := b.pickWithCapacity(index, slot, capacityUpToBound)
+			node := b.pickWithCapacity(index, slot, capacityWithinBound)
 			if node == noNode {
-				node = b.pickLeast(index, slot, func(node nodeIndex) float64 {
-					return float64(b.regular[node]+b.parts[index]) / float64(b.fair[node]+1)
+				node = b.pickLeastCost(index, slot, func(node nodeIndex) float64 {
+					return float64(b.regular[node]+b.slotLoads[index]) / float64(b.fair[node]+1)
 				})
 			}
 			b.ownersAt(index)[slot] = node
-			b.regular[node] += b.parts[index]
+			b.regular[node] += b.slotLoads[index]
 		}
 	}
 }
 
-// finish sets the loads of the table.
-func (b *builder) finish() {
+// setLoads sets the node loads of the table.
+func (b *builder) setLoads() {
 	count := len(b.topology.nodes)
-	b.loads, b.fairs, b.limits = make([]load, count), make([]load, count), make([]load, count)
+	b.loads, b.fairLoads, b.limits = make([]load, count), make([]load, count), make([]load, count)
 	for node := range count {
 		b.loads[node] = b.regular[node] + b.largeSum[node]
-		b.fairs[node] = b.fair[node] + b.largeSum[node]
-		b.limits[node] = b.bound[node] + b.largeSum[node]
+		b.fairLoads[node] = b.fair[node] + b.largeSum[node]
+		b.limits[node] = b.upperBound[node] + b.largeSum[node]
 	}
 }
--- a/decide/placement/explain.go
+++ b/decide/placement/explain.go
@@ -5,48 +5,48 @@
 	"slices"
 )
 
-// Reason is why a candidate owns a destination or was passed over.
+// Reason states why a candidate owns a destination or was passed over.
 type Reason string
 
 // The reasons of an Explanation.
 const (
-	// ReasonOwner is a candidate that owns the destination.
+	// ReasonOwner marks a node that owns the destination.
 	ReasonOwner Reason = "owner"
-	// ReasonDraining is a node that is draining.
+	// ReasonDraining marks a node that is draining.
 	ReasonDraining Reason = "draining"
-	// ReasonRegion is a node outside the region of the destination.
+	// ReasonRegion marks a node outside the region of the destination.
 	ReasonRegion Reason = "region"
-	// ReasonZoneUsed is a node in the zone of another owner.
+	// ReasonZoneUsed marks a node in the zone of another owner.
 	ReasonZoneUsed Reason = "zone taken"
-	// ReasonLoadBound is a node whose load is at its bound.
+	// ReasonLoadBound marks a node that cannot take the slot load without exceeding its load limit.
 	ReasonLoadBound Reason = "load bound"
-	// ReasonEnoughOwners is a node that could own the destination, which has its owners already.
+	// ReasonEnoughOwners marks a node that could own the destination, which already has enough owners.
 	ReasonEnoughOwners Reason = "enough owners"
 )
 
-// Candidate is one node as seen by one destination.
+// Candidate describes one node from the point of view of one destination.
 type Candidate struct {
 	Node   NodeID
 	Region string
 	Zone   string
 	Reason Reason
-	// Load is the node's load, Fair its fair load and Limit the load up to which it takes more, in messages a
+	// Load is the load of the node, Fair its fair load and Limit the load up to which it accepts more, in messages a
 	// second.
 	Load, Fair, Limit float64
 }
 
-// Explanation is why a destination has its owners, for operators.
+// Explanation states for operators why a destination has its owners.
 type Explanation struct {
 	Destination DestinationID
-	// Known is false for a destination that the table does not have; the other fields are empty then.
+	// Known is false if the table does not contain the destination; only Destination is set then.
 	Known  bool
 	Rate   float64 // messages a second
 	Wanted int
 	Region string
 	Owners []NodeID
-	// Hot reports that one owner's part is larger than the mean fair load of a node.
+	// Hot reports whether the slot load exceeds the mean fair load of a node.
 	Hot bool
-	// Candidates are all nodes: the eligible ones with the best ranked first, then the others by ID.
+	// Candidates contains all nodes: first the eligible ones, best ranked first, then the others by ID.
 	Candidates []Candidate
 }
 
@@ -56,37 +56,37 @@
 	if !known {
 		return Explanation{Destination: destination}
 	}
-	_, hot := slices.BinarySearch(t.hots, destination)
+	_, hot := slices.BinarySearch(t.hotIDs, destination)
 	explainer := newExplainer(t, index)
 	return Explanation{
 		Destination: destination,
 		Known:       true,
 		Rate:        t.rates[index].rate(),
 		Wanted:      len(t.ownersAt(index)),
-		Region:      t.names[t.regions[index]],
+		Region:      t.regionNames[t.regions[index]],
 		Owners:      t.Owners(destination),
 		Hot:         hot,
 		Candidates:  append(explainer.eligible(), explainer.excluded()...),
 	}
 }
 
-// explainer looks at all nodes for one destination.
+// explainer evaluates all nodes as candidates for one destination.
 type explainer struct {
 	*Table
 	topology *topology
 	index    int
 	scope    scope
-	// part is what one owner carries.
-	part load
-	// zonesUsed are the zones of the owners.
+	// slotLoad is the load that one owner carries.
+	slotLoad load
+	// zonesUsed contains the zones of the owners.
 	zonesUsed map[zoneIndex]bool
-	// zonesShared reports that there are more owners than zones, so that some share one.
+	// zonesShared reports whether some owners share a zone because there are more owners than zones.
 	zonesShared bool
 }
 
 func newExplainer(table *Table, index int) *explainer {
 	e := &explainer{Table: table, topology: newTopology(table.nodes), index: index}
-	e.scope = e.topology.scope(table.names[table.regions[index]])
+	e.scope = e.topology.scope(table.regionNames[table.regions[index]])
 	e.zonesUsed = map[zoneIndex]bool{}
 	owners := 0
 	for _, owner := range table.ownersAt(index) {
@@ -96,7 +96,7 @@
 		}
 	}
 	e.zonesShared = owners > len(e.scope.zones)
-	e.part = max(1, table.rates[index]/load(max(1, owners)))
+	e.slotLoad = max(1, table.rates[index]/load(max(1, owners)))
 	return e
 }
 
@@ -119,7 +119,7 @@
 
 // excluded returns the nodes that may not own the destination, by ID.
 func (e *explainer) excluded() []Candidate {
-	region := e.names[e.regions[e.index]]
+	region := e.regionNames[e.regions[e.index]]
 	var candidates []Candidate
 	for index, node := range e.nodes {
 		switch {
@@ -132,14 +132,14 @@
 	return candidates
 }
 
-// reason returns why an eligible node is an owner or not.
+// reason returns why an eligible node owns the destination or does not.
 func (e *explainer) reason(node nodeIndex) Reason {
 	switch {
 	case slices.Contains(e.ownersAt(e.index), node):
 		return ReasonOwner
 	case e.zonesUsed[e.topology.zoneOf[node]] && !e.zonesShared:
 		return ReasonZoneUsed
-	case e.loads[node]+e.part > e.limits[node]:
+	case e.loads[node]+e.slotLoad > e.limits[node]:
 		return ReasonLoadBound
 	default:
 		return ReasonEnoughOwners
@@ -153,7 +153,7 @@
 		Zone:   e.nodes[node].Zone,
 		Reason: reason,
 		Load:   e.loads[node].rate(),
-		Fair:   e.fairs[node].rate(),
+		Fair:   e.fairLoads[node].rate(),
 		Limit:  e.limits[node].rate(),
 	}
 }
--- a/decide/placement/fair.go
+++ b/decide/placement/fair.go
@@ -2,25 +2,25 @@
 
 import "math"
 
-// The fair loads are found by filling levels up to this relative error, within this number of steps.
+// solveLevel stops at this relative error, or after this number of steps in each of its two phases.
 const (
-	levelError = 1e-10
-	levelSteps = 200
+	levelTolerance = 1e-10
+	maxLevelSteps  = 200
 )
 
-// spread adds the total load of a class to the nodes' fair loads so that the highest load for a node's weight
-// is as low as the rules let it be: a node carries at most one part of each destination, and a zone as well
-// where there are as many zones as owners; where there are not, each zone carries at least one.
+// waterFill distributes the total load of a destination group over the fair loads of the nodes, so that the highest
+// load per node weight is as low as the rules allow. A node carries at most one slot of each destination. A zone also
+// carries at most one if there are at least as many zones as owners; otherwise each zone carries at least one.
 //
-// With equal zones it is the mean by weight.
-func (t *topology) spread(fair []float64, scope scope, owners int, total float64) {
+// If all zones have the same total weight, the result is the mean by weight.
+func (t *topology) waterFill(fair []float64, scope scope, owners int, total float64) {
 	share := total / float64(owners)
-	filler := filler{topology: t, fair: fair, nodeMost: share, zoneMost: share}
+	filler := waterFiller{topology: t, fair: fair, nodeMax: share, zoneMax: share}
 	if len(scope.zones) <= owners {
-		filler.zoneLeast = share
+		filler.zoneMin = share
 	}
 	if len(scope.zones) < owners {
-		filler.zoneMost = total
+		filler.zoneMax = total
 	}
 	sum := func(level float64) float64 {
 		var sum float64
@@ -29,25 +29,26 @@
 		}
 		return sum
 	}
-	level := solveLevel(total, filler.plainLevel(scope.zones, total), sum)
+	level := solveLevel(total, filler.unconstrainedLevel(scope.zones, total), sum)
 	for _, zone := range scope.zones {
-		filler.pour(zone, filler.zoneAmount(zone, level))
+		filler.fillZone(zone, filler.zoneAmount(zone, level))
 	}
 }
 
-// filler finds how much of one class nodes and zones take at a level of load for a node's weight.
-type filler struct {
+// waterFiller computes the load of one destination group that nodes and zones take at a given level. A level is a
+// load per node weight.
+type waterFiller struct {
 	*topology
-	fair                []float64
-	nodeMost            float64
-	zoneLeast, zoneMost float64
+	fair             []float64
+	nodeMax          float64
+	zoneMin, zoneMax float64
 }
 
-func (f *filler) nodeAmount(node nodeIndex, level float64) float64 {
-	return min(max(float64(level*f.nodes[node].Weight)-f.fair[node], 0), f.nodeMost)
+func (f *waterFiller) nodeAmount(node nodeIndex, level float64) float64 {
+	return min(max(float64(level*f.nodes[node].Weight)-f.fair[node], 0), f.nodeMax)
 }
 
-func (f *filler) zoneUnbounded(zone zoneIndex, level float64) float64 {
+func (f *waterFiller) zoneAmountUnclamped(zone zoneIndex, level float64) float64 {
 	var sum float64
 	for _, node := range f.zones[zone].nodes {
 		sum += f.nodeAmount(node, level)
@@ -55,12 +56,12 @@
 	return sum
 }
 
-func (f *filler) zoneAmount(zone zoneIndex, level float64) float64 {
-	return min(max(f.zoneUnbounded(zone, level), f.zoneLeast), f.zoneMost)
+func (f *waterFiller) zoneAmount(zone zoneIndex, level float64) float64 {
+	return min(max(f.zoneAmountUnclamped(zone, level), f.zoneMin), f.zoneMax)
 }
 
-// plainLevel returns the level that the amount gives the zones if no limit applies.
-func (f *filler) plainLevel(zones []zoneIndex, amount float64) float64 {
+// unconstrainedLevel returns the level at which the zones take the amount if no limit applies.
+func (f *waterFiller) unconstrainedLevel(zones []zoneIndex, amount float64) float64 {
 	var weight float64
 	for _, zone := range zones {
 		weight += f.zones[zone].weight
@@ -71,24 +72,24 @@
 	return amount / weight
 }
 
-// pour adds the amount to the nodes of a zone.
-func (f *filler) pour(zone zoneIndex, amount float64) {
-	guess := f.plainLevel([]zoneIndex{zone}, amount)
-	level := solveLevel(amount, guess, func(level float64) float64 { return f.zoneUnbounded(zone, level) })
+// fillZone distributes the amount over the nodes of a zone.
+func (f *waterFiller) fillZone(zone zoneIndex, amount float64) {
+	guess := f.unconstrainedLevel([]zoneIndex{zone}, amount)
+	level := solveLevel(amount, guess, func(level float64) float64 { return f.zoneAmountUnclamped(zone, level) })
 	for _, node := range f.zones[zone].nodes {
 		f.fair[node] += f.nodeAmount(node, level)
 	}
 }
 
-// solveLevel returns the lowest level, but for rounding, at which sum reaches the amount. The sum grows with the
-// level. The guess is the first level tried.
+// solveLevel returns the lowest level, within levelTolerance, at which sum reaches the amount. sum must not decrease
+// as the level rises. guess is the first level tried.
 func solveLevel(amount, guess float64, sum func(level float64) float64) float64 {
 	if amount <= 0 {
 		return 0
 	}
-	tolerance := float64(amount * levelError)
+	tolerance := float64(amount * levelTolerance)
 	low, high := 0.0, guess
-	for range levelSteps {
+	for range maxLevelSteps {
 		missing := amount - sum(high)
 		if math.Abs(missing) <= tolerance {
 			return high
@@ -98,7 +99,7 @@
 		}
 		low, high = high, high*4
 	}
-	for steps := 0; high-low > float64(high*levelError) && steps < levelSteps; steps++ {
+	for steps := 0; high-low > float64(high*levelTolerance) && steps < maxLevelSteps; steps++ {
 		middle := low + (high-low)/2
 		if sum(middle) < amount-tolerance {
 			low = middle
@@ -109,5 +110,5 @@
 	return high
 }
 
-// loadFloor converts a sum of loads to a load.
-func loadFloor(value float64) load { return load(math.Floor(max(value, 0))) }
+// floorToLoad rounds a sum of loads down to a load; negative sums become 0.
+func floorToLoad(value float64) load { return load(math.Floor(max(value, 0))) }
--- a/decide/placement/fleet_test.go
+++ b/decide/placement/fleet_test.go
@@ -9,8 +9,9 @@
 	"testing"
 )
 
-// fullVariable makes the tests of this file use the full fleet of 1,500 nodes and 170,000 destinations.
-const fullVariable = "PLACEMENT_FULL"
+// fullFleetVariable is the environment variable that makes the tests of this file use the full fleet of 1,500 nodes
+// and 170,000 destinations.
+const fullFleetVariable = "PLACEMENT_FULL"
 
 // fleetSize is the size of a test fleet.
 type fleetSize struct{ nodes, destinations int }
@@ -20,7 +21,7 @@
 	fullFleet  = fleetSize{1_500, 170_000}
 )
 
-// The fleet that the tests model: 11 zones in 3 regions, and 3.5 million messages a second at full size.
+// The modeled fleet: 11 zones in 3 regions, and 3.5 million messages a second at full size.
 const (
 	fleetZones      = 11
 	fleetRegions    = 3
@@ -32,13 +33,13 @@
 )
 
 func testFleetSize() fleetSize {
-	if os.Getenv(fullVariable) != "" {
+	if os.Getenv(fullFleetVariable) != "" {
 		return fullFleet
 	}
 	return smallFleet
 }
 
-// newFleet returns a fleet whose rates follow a power law, in random order.
+// newFleet returns a fleet whose destination rates follow a power law, assigned in random order.
 func newFleet(size fleetSize) Input {
 	input := Input{LoadBound: DefaultLoadBound}
 	for i := range size.nodes {
@@ -68,14 +69,14 @@
 	}
 }
 
-// fleet is an input with its table; each change counts what it moved.
+// fleet is a changing input with its current table. It counts the load that each update moves.
 type fleet struct {
 	t     testing.TB
 	input Input
 	table *Table
-	// moved is the load that got an owner that it did not have before, over all changes.
+	// moved is the load that was assigned to a new owner, summed over all updates.
 	moved float64
-	// changes counts by destination how often its owners changed.
+	// changes counts the owner set changes of each destination.
 	changes map[DestinationID]int
 }
 
@@ -95,7 +96,7 @@
 	return table
 }
 
-// update computes the table for the input as it is now and returns the load that moved.
+// update computes the table for the current input and returns the load that moved.
 func (f *fleet) update() float64 {
 	f.t.Helper()
 	next := mustCompute(f.t, f.table, f.input)
@@ -108,32 +109,32 @@
 	return moved
 }
 
-// load sums the loads of the nodes that are chosen.
-func (f *fleet) load(chosen func(Node) bool) float64 {
+// load returns the sum of the loads of the selected nodes.
+func (f *fleet) load(selected func(Node) bool) float64 {
 	var sum float64
 	for _, node := range f.input.Nodes {
-		if chosen(node) {
+		if selected(node) {
 			sum += f.table.Load(node.ID)
 		}
 	}
 	return sum
 }
 
-// remove takes the chosen nodes out of the input and returns them.
-func (f *fleet) remove(chosen func(Node) bool) []Node {
+// removeNodes removes the selected nodes from the input and returns them.
+func (f *fleet) removeNodes(selected func(Node) bool) []Node {
 	var removed []Node
 	f.input.Nodes = slices.DeleteFunc(slices.Clone(f.input.Nodes), func(node Node) bool {
-		if chosen(node) {
+		if selected(node) {
 			removed = append(removed, node)
 		}
-		return chosen(node)
+		return selected(node)
 	})
 	return removed
 }
 
-func (f *fleet) add(nodes []Node) { f.input.Nodes = append(slices.Clone(f.input.Nodes), nodes...) }
+func (f *fleet) addNodes(nodes []Node) { f.input.Nodes = append(slices.Clone(f.input.Nodes), nodes...) }
 
-// setDraining sets the mark of a node and reports whether it is there.
+// setDraining sets Draining of a node and reports whether the fleet contains it.
 func (f *fleet) setDraining(id NodeID, draining bool) bool {
 	f.input.Nodes = slices.Clone(f.input.Nodes)
 	for i := range f.input.Nodes {
@@ -145,7 +146,7 @@
 	return false
 }
 
-// lostZone is the zone that tests take away.
+// lostZone is the zone that tests remove.
 const lostZone = "zone-03"
 
 func inLostZone(node Node) bool { return node.Zone == lostZone }
@@ -154,129 +155,131 @@
 	return func(node Node) bool { return slices.Contains(ids, node.ID) }
 }
 
-// checkBalance checks the loads of the fleet against the bounds of the package, without any exception.
+// checkBalance fails the test unless every load is within the bounds of the package, without exceptions.
 func (f *fleet) checkBalance() {
 	f.t.Helper()
 	o := newOracle(f.input, f.table)
 	var counts modelCounts
-	if fault := o.fault(&counts); fault != "" {
-		f.t.Fatal(fault)
+	if violation := o.violation(&counts); violation != "" {
+		f.t.Fatal(violation)
 	}
-	if counts.overBound+counts.underLow > 0 {
-		f.t.Fatalf("%d nodes over the bound, %d under the low load", counts.overBound, counts.underLow)
+	if counts.overloaded+counts.underloaded > 0 {
+		f.t.Fatalf("got %d nodes over the upper bound and %d under the lower bound, want none", counts.overloaded, counts.underloaded)
 	}
 }
 
-// spreadOfLoad returns the least and the largest load of a node as multiples of its fair load.
-func (f *fleet) spreadOfLoad() (least, most float64) {
-	least = math.Inf(1)
+// relativeLoadRange returns the lowest and the highest node load as multiples of the fair load.
+func (f *fleet) relativeLoadRange() (lowest, highest float64) {
+	lowest = math.Inf(1)
 	for _, node := range f.input.Nodes {
 		if fair := f.table.FairLoad(node.ID); !node.Draining && fair > 0 {
-			least = min(least, f.table.Load(node.ID)/fair)
-			most = max(most, f.table.Load(node.ID)/fair)
+			lowest = min(lowest, f.table.Load(node.ID)/fair)
+			highest = max(highest, f.table.Load(node.ID)/fair)
 		}
 	}
-	return least, most
+	return lowest, highest
 }
 
-// atMost fails the test when the load moved is over the multiple of the part.
-func (f *fleet) atMost(what string, moved, part, multiple float64) {
+// checkMoved fails the test if the moved load exceeds the baseline times the factor. The baseline is the load of the
+// changed nodes.
+func (f *fleet) checkMoved(event string, moved, baseline, factor float64) {
 	f.t.Helper()
-	f.t.Logf("%s: moved %.0f, %.3f times the part of %.0f", what, moved, moved/part, part)
-	if moved > part*multiple {
-		f.t.Errorf("%s: moved more than %.2f times the part", what, multiple)
+	f.t.Logf("%s: moved %.0f, %.3f times the load of the changed nodes, %.0f", event, moved, moved/baseline, baseline)
+	if moved > baseline*factor {
+		f.t.Errorf("%s: moved more than %.2f times the load of the changed nodes", event, factor)
 	}
 }
 
-// nodeMovement and zoneMovement are the multiples of its own part that a node's or zone's change may move.
+// maxNodeMovement and maxZoneMovement limit the load that a change of a node or a zone may move, as multiples of the
+// load of that node or zone.
 const (
-	nodeMovement = 2.0
-	zoneMovement = 1.25
+	maxNodeMovement = 2.0
+	maxZoneMovement = 1.25
 )
 
-func TestFleetBalance(t *testing.T) {
+func TestFleetLoadsStayWithinBounds(t *testing.T) {
 	f := startFleet(t, testFleetSize())
-	least, most := f.spreadOfLoad()
-	t.Logf("%d nodes, %d destinations: loads between %.3f and %.3f of the fair load, %d large and %d hot destinations",
-		len(f.input.Nodes), len(f.input.Destinations), least, most, len(f.table.larges), len(f.table.Hot()))
+	lowest, highest := f.relativeLoadRange()
+	t.Logf("%d nodes, %d destinations: loads from %.3f to %.3f of the fair load, %d large and %d hot destinations",
+		len(f.input.Nodes), len(f.input.Destinations), lowest, highest, len(f.table.largeIDs), len(f.table.Hot()))
 	f.checkBalance()
 }
 
-func TestOneNodeChanges(t *testing.T) {
+func TestSingleNodeChangeMovesBoundedLoad(t *testing.T) {
 	f := startFleet(t, testFleetSize())
 	for _, i := range []int{0, 17, 42} {
 		id := fleetNode(i).ID
-		part := f.load(hasID(id))
+		ownLoad := f.load(hasID(id))
 		f.setDraining(id, true)
-		f.atMost("drained", f.update(), part, nodeMovement)
+		f.checkMoved("node drained", f.update(), ownLoad, maxNodeMovement)
 		if moved := f.update(); moved != 0 {
-			t.Errorf("a second update moved %v", moved)
+			t.Errorf("repeated update: got moved load %v, want none", moved)
 		}
-		removed := f.remove(hasID(id))
-		f.atMost("removed after its drain", f.update(), part, 0)
+		removed := f.removeNodes(hasID(id))
+		f.checkMoved("node removed after its drain", f.update(), ownLoad, 0)
 		removed[0].Draining = false
-		f.add(removed)
+		f.addNodes(removed)
 		moved := f.update()
-		f.atMost("back", moved, f.table.FairLoad(id), nodeMovement)
-		part = f.load(hasID(id))
-		f.remove(hasID(id))
-		f.atMost("lost", f.update(), part, nodeMovement)
+		f.checkMoved("node returned", moved, f.table.FairLoad(id), maxNodeMovement)
+		ownLoad = f.load(hasID(id))
+		f.removeNodes(hasID(id))
+		f.checkMoved("node lost", f.update(), ownLoad, maxNodeMovement)
 		f.checkBalance()
 	}
-	f.add([]Node{fleetNode(len(f.input.Nodes) + 10)})
+	f.addNodes([]Node{fleetNode(len(f.input.Nodes) + 10)})
 	moved := f.update()
 	added := f.input.Nodes[len(f.input.Nodes)-1].ID
-	f.atMost("a new node", moved, f.table.FairLoad(added), nodeMovement)
+	f.checkMoved("node added", moved, f.table.FairLoad(added), maxNodeMovement)
 	f.checkBalance()
 }
 
-func TestZoneLostMovesItsPartOnce(t *testing.T) {
+func TestZoneLossMovesItsLoadOnce(t *testing.T) {
 	f := startFleet(t, testFleetSize())
 	for range 2 {
-		part := f.load(inLostZone)
-		lost := f.remove(inLostZone)
-		f.atMost("zone lost", f.update(), part, zoneMovement)
+		ownLoad := f.load(inLostZone)
+		lost := f.removeNodes(inLostZone)
+		f.checkMoved("zone lost", f.update(), ownLoad, maxZoneMovement)
 		f.checkBalance()
 		if moved := f.update(); moved != 0 {
-			t.Errorf("a second update moved %v", moved)
+			t.Errorf("repeated update: got moved load %v, want none", moved)
 		}
-		f.add(lost)
+		f.addNodes(lost)
 		moved := f.update()
 		fair := 0.0
 		for _, node := range lost {
 			fair += f.table.FairLoad(node.ID)
 		}
-		f.atMost("zone back", moved, fair, 1)
+		f.checkMoved("zone returned", moved, fair, 1)
 		f.checkBalance()
 	}
 }
 
-// TestZoneLostDuringRollingRestart drains and returns nodes in turn, five at a time, while a zone goes and comes
-// back.
-func TestZoneLostDuringRollingRestart(t *testing.T) {
-	const together, rounds, lostAt, backAt = 5, 12, 4, 8
+// Nodes are drained and returned five at a time. A zone is lost and returned meanwhile. The load moved in total must
+// stay close to the load of the nodes that changed.
+func TestZoneLossDuringRollingRestartMovesBoundedLoad(t *testing.T) {
+	const batchSize, rounds, zoneLostAt, zoneReturnedAt = 5, 12, 4, 8
 	f := startFleet(t, testFleetSize())
-	var necessary float64
+	var baseline float64
 	var lost []Node
 	for round := range rounds {
 		switch round {
-		case lostAt:
-			necessary += f.load(inLostZone)
-			lost = f.remove(inLostZone)
-		case backAt:
-			f.add(lost)
+		case zoneLostAt:
+			baseline += f.load(inLostZone)
+			lost = f.removeNodes(inLostZone)
+		case zoneReturnedAt:
+			f.addNodes(lost)
 			f.update()
 			for _, node := range lost {
-				necessary += f.table.FairLoad(node.ID)
+				baseline += f.table.FairLoad(node.ID)
 			}
 		}
 		var batch []NodeID
-		for i := range together {
-			if id := fleetNode(round*together + i).ID; f.setDraining(id, true) {
+		for i := range batchSize {
+			if id := fleetNode(round*batchSize + i).ID; f.setDraining(id, true) {
 				batch = append(batch, id)
 			}
 		}
-		necessary += f.load(hasID(batch...))
+		baseline += f.load(hasID(batch...))
 		f.update()
 		f.checkBalance()
 		for _, id := range batch {
@@ -284,42 +287,43 @@
 		}
 		f.update()
 		for _, id := range batch {
-			necessary += f.table.FairLoad(id)
+			baseline += f.table.FairLoad(id)
 		}
 		f.checkBalance()
 	}
-	f.atMost("rolling restart with a zone lost and back", f.moved, necessary, zoneMovement)
+	f.checkMoved("rolling restart with a zone lost and returned", f.moved, baseline, maxZoneMovement)
 	f.logChurn()
 }
 
-// TestRestartsOfAnHour drains and returns 310 nodes, ten at a time.
-func TestRestartsOfAnHour(t *testing.T) {
-	const together = 10
+// 310 nodes, the restarts of one hour, are drained and returned ten at a time. The load moved in total must stay
+// close to the load of the nodes that changed.
+func TestHourOfRestartsMovesBoundedLoad(t *testing.T) {
+	const batchSize = 10
 	f := startFleet(t, testFleetSize())
-	var necessary float64
-	for first := 0; first < restartsPerHour; first += together {
+	var baseline float64
+	for first := 0; first < restartsPerHour; first += batchSize {
 		var batch []NodeID
-		for i := range together {
+		for i := range batchSize {
 			id := fleetNode((first + i) % len(f.input.Nodes)).ID
 			f.setDraining(id, true)
 			batch = append(batch, id)
 		}
-		necessary += f.load(hasID(batch...))
+		baseline += f.load(hasID(batch...))
 		f.update()
 		for _, id := range batch {
 			f.setDraining(id, false)
 		}
 		f.update()
 		for _, id := range batch {
-			necessary += f.table.FairLoad(id)
+			baseline += f.table.FairLoad(id)
 		}
 	}
 	f.checkBalance()
-	f.atMost("310 restarts", f.moved, necessary, zoneMovement)
+	f.checkMoved("310 restarts", f.moved, baseline, maxZoneMovement)
 	f.logChurn()
 }
 
-// logChurn reports how often the owners of a destination changed.
+// logChurn logs the moved load and how often owner sets changed.
 func (f *fleet) logChurn() {
 	total, worst := 0, 0
 	for _, count := range f.changes {
@@ -330,42 +334,43 @@
 	for _, destination := range f.input.Destinations {
 		rate += destination.Rate
 	}
-	f.t.Logf("moved %.3f of all load; %d changes of an owner set, %d destinations of %d, at most %d for one",
+	f.t.Logf("moved %.3f of all load; %d owner sets changed for %d of %d destinations, at most %d times for one",
 		f.moved/rate, total, len(f.changes), len(f.input.Destinations), worst)
 }
 
-func TestAllOwnersOfADestinationDie(t *testing.T) {
+func TestLossOfAllOwnersMovesBoundedLoad(t *testing.T) {
 	f := startFleet(t, testFleetSize())
 	for destination := DestinationID(0); destination < 5; destination++ {
 		owners := f.table.Owners(destination)
-		part := f.load(hasID(owners...))
-		f.remove(hasID(owners...))
-		f.atMost("all owners lost", f.update(), part, nodeMovement)
+		ownLoad := f.load(hasID(owners...))
+		f.removeNodes(hasID(owners...))
+		f.checkMoved("all owners lost", f.update(), ownLoad, maxNodeMovement)
 		f.checkBalance()
 		if after := f.table.Owners(destination); len(after) != fleetOwners {
-			t.Fatalf("owners of %d are %v", destination, after)
+			t.Fatalf("destination %d: got owners %v, want %d", destination, after, fleetOwners)
 		}
 	}
 }
 
-// TestTableFromNothing compares a table with a history with one that is computed anew from the same input: what
-// would move if a control process lost its table and learnt nothing from the nodes.
-func TestTableFromNothing(t *testing.T) {
+// The test logs the load that would move if a control process lost its table and received no owner sets from the
+// nodes: the difference between a table with a history and one computed from the same input alone.
+func TestTableWithHistoryLogsDifferenceFromNewTable(t *testing.T) {
 	f := startFleet(t, testFleetSize())
 	for i := range 10 {
-		f.remove(hasID(fleetNode(i * 7).ID))
+		f.removeNodes(hasID(fleetNode(i * 7).ID))
 		f.update()
 	}
-	anew := mustCompute(t, nil, f.input)
+	recomputed := mustCompute(t, nil, f.input)
 	var rate float64
 	for _, destination := range f.input.Destinations {
 		rate += destination.Rate
 	}
-	t.Logf("after the loss of ten nodes one by one, %.3f of all load has an owner that a new table would not choose",
-		movedLoad(anew, f.table)/rate)
+	t.Logf("after the loss of ten nodes one by one, a table without a previous one moves %.3f of all load",
+		movedLoad(recomputed, f.table)/rate)
 }
 
-// benchmarkSizes are the sizes that slopes are drawn from: by nodes, and by destinations.
+// benchmarkSizes vary the number of nodes and the number of destinations separately, to show how the cost grows with
+// each.
 var benchmarkSizes = []fleetSize{
 	{188, 170_000},
 	{375, 170_000},
@@ -376,8 +381,8 @@
 	fullFleet,
 }
 
-// bySize runs a benchmark at each size.
-func bySize(b *testing.B, run func(b *testing.B, size fleetSize)) {
+// benchmarkBySize runs a benchmark at each of benchmarkSizes.
+func benchmarkBySize(b *testing.B, run func(b *testing.B, size fleetSize)) {
 	b.Helper()
 	for _, size := range benchmarkSizes {
 		b.Run(fmt.Sprintf("nodes=%d/destinations=%d", size.nodes, size.destinations), func(b *testing.B) {
@@ -386,8 +391,8 @@
 	}
 }
 
-func BenchmarkFromNothing(b *testing.B) {
-	bySize(b, func(b *testing.B, size fleetSize) {
+func BenchmarkComputeWithoutPrevious(b *testing.B) {
+	benchmarkBySize(b, func(b *testing.B, size fleetSize) {
 		b.Helper()
 		input := newFleet(size)
 		b.ReportAllocs()
@@ -395,37 +400,37 @@
 		for b.Loop() {
 			table = mustCompute(b, nil, input)
 		}
-		b.ReportMetric(float64(table.bytes()), "table-B")
+		b.ReportMetric(float64(table.memoryBytes()), "table-B")
 	})
 }
 
-func BenchmarkNothingChanged(b *testing.B) {
+func BenchmarkComputeUnchanged(b *testing.B) {
 	benchmarkUpdate(b, func(*fleet) {})
 }
 
-func BenchmarkNodeLost(b *testing.B) {
-	benchmarkUpdate(b, func(f *fleet) { f.remove(hasID("node-0042")) })
+func BenchmarkComputeNodeLost(b *testing.B) {
+	benchmarkUpdate(b, func(f *fleet) { f.removeNodes(hasID("node-0042")) })
 }
 
-func BenchmarkNodeAdded(b *testing.B) {
-	benchmarkUpdate(b, func(f *fleet) { f.add([]Node{fleetNode(len(f.input.Nodes))}) })
+func BenchmarkComputeNodeAdded(b *testing.B) {
+	benchmarkUpdate(b, func(f *fleet) { f.addNodes([]Node{fleetNode(len(f.input.Nodes))}) })
 }
 
-func BenchmarkZoneLost(b *testing.B) {
-	benchmarkUpdate(b, func(f *fleet) { f.remove(inLostZone) })
+func BenchmarkComputeZoneLost(b *testing.B) {
+	benchmarkUpdate(b, func(f *fleet) { f.removeNodes(inLostZone) })
 }
 
-func BenchmarkDestinationChanged(b *testing.B) {
+func BenchmarkComputeDestinationChanged(b *testing.B) {
 	benchmarkUpdate(b, func(f *fleet) {
 		f.input.Destinations = slices.Clone(f.input.Destinations)
 		f.input.Destinations[1000].Rate *= 2
 	})
 }
 
-func BenchmarkChanged(b *testing.B) {
+func BenchmarkTableChanged(b *testing.B) {
 	f := startFleet(b, fullFleet)
 	previous := f.table
-	f.remove(hasID("node-0042"))
+	f.removeNodes(hasID("node-0042"))
 	f.update()
 	b.ReportAllocs()
 	for b.Loop() {
@@ -433,10 +438,10 @@
 	}
 }
 
-// benchmarkUpdate measures the update after one change, which is computed again and again from the same table.
+// benchmarkUpdate measures the update after one change. Each iteration starts from the same table.
 func benchmarkUpdate(b *testing.B, change func(*fleet)) {
 	b.Helper()
-	bySize(b, func(b *testing.B, size fleetSize) {
+	benchmarkBySize(b, func(b *testing.B, size fleetSize) {
 		b.Helper()
 		f := startFleet(b, size)
 		change(f)
@@ -446,14 +451,14 @@
 			table = mustCompute(b, f.table, f.input)
 		}
 		b.ReportMetric(float64(len(table.Changed(f.table))), "changed-sets")
-		if own := ownPart(table, f.table); own > 0 {
+		if own := changedNodeLoad(table, f.table); own > 0 {
 			b.ReportMetric(movedLoad(table, f.table)/own, "moved/own-part")
 		}
 	})
 }
 
-// ownPart sums the loads of the nodes that left and the fair loads of those that came.
-func ownPart(table, previous *Table) float64 {
+// changedNodeLoad returns the sum of the loads of the removed nodes and the fair loads of the added ones.
+func changedNodeLoad(table, previous *Table) float64 {
 	var own float64
 	for _, node := range previous.nodes {
 		if _, found := table.node(node.ID); !found {
@@ -468,9 +473,9 @@
 	return own
 }
 
-// bytes returns the size of the table without the names of nodes.
-func (t *Table) bytes() int {
+// memoryBytes returns the approximate size of the table, without the names of nodes.
+func (t *Table) memoryBytes() int {
 	const nodeBytes = 64
-	return len(t.nodes)*nodeBytes + len(t.ids)*4 + len(t.rates)*8 + len(t.regions)*2 + len(t.start)*4 +
+	return len(t.nodes)*nodeBytes + len(t.ids)*4 + len(t.rates)*8 + len(t.regions)*2 + len(t.ownerOffsets)*4 +
 		len(t.owners)*2 + 3*8*len(t.loads)
 }
--- a/decide/placement/keep.go
+++ b/decide/placement/keep.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// keep takes over the owners of the previous table that the rules allow to stay.
-func (b *builder) keep(previous *Table) {
+// retainOwners copies the owners from the previous table that the rules allow to stay.
+func (b *builder) retainOwners(previous *Table) {
 	if previous == nil {
 		return
 	}
@@ -17,12 +17,13 @@
 			return
 		}
 		if previous.ids[old] == destination {
-			b.keepOwners(index, previous.ownersAt(old), renumbered)
+			b.retainDestinationOwners(index, previous.ownersAt(old), renumbered)
 		}
 	}
 }
 
-// renumber returns the new index of each node of the previous table, noNode for those that may own nothing.
+// renumber maps the node indexes of the previous table to the new ones, and to noNode if the node is missing or may
+// not own destinations.
 func (b *builder) renumber(previous *Table) []nodeIndex {
 	renumbered := make([]nodeIndex, len(previous.nodes))
 	for i, node := range previous.nodes {
@@ -34,22 +35,22 @@
 	return renumbered
 }
 
-// keepOwners keeps one owner in each zone first, and then as many in zones already used as there are more
-// owners than zones.
-func (b *builder) keepOwners(index int, old, renumbered []nodeIndex) {
+// retainDestinationOwners retains one owner in each zone first. If there are more owners than zones, it then retains
+// owners in zones already used, up to the difference.
+func (b *builder) retainDestinationOwners(index int, old, renumbered []nodeIndex) {
 	slots := b.ownersAt(index)
 	wanted, zonesWanted := b.ownersWanted(index), b.zonesWanted(index)
-	region := b.names[b.regions[index]]
+	region := b.regionNames[b.regions[index]]
 	kept := 0
 	for _, index := range old {
-		node := keptNode(index, renumbered)
-		if kept < zonesWanted && b.eligible(node, region) && !b.zoneUsed(slots[:kept], b.zoneOf[node]) {
+		node := renumberedNode(index, renumbered)
+		if kept < zonesWanted && b.eligible(node, region) && !b.anyInZone(slots[:kept], b.zoneOf[node]) {
 			slots[kept] = node
 			kept++
 		}
 	}
 	for _, index := range old {
-		node := keptNode(index, renumbered)
+		node := renumberedNode(index, renumbered)
 		more := kept < wanted && wanted > zonesWanted && b.eligible(node, region)
 		if more && !slices.Contains(slots[:kept], node) && b.extraOwners(slots[:kept]) < wanted-zonesWanted {
 			slots[kept] = node
@@ -58,7 +59,7 @@
 	}
 }
 
-func keptNode(old nodeIndex, renumbered []nodeIndex) nodeIndex {
+func renumberedNode(old nodeIndex, renumbered []nodeIndex) nodeIndex {
 	if old == noNode {
 		return noNode
 	}
@@ -69,8 +70,8 @@
 	return node != noNode && (region == "" || b.topology.nodes[node].Region == region)
 }
 
-// zoneUsed reports whether one of the owners is in the zone.
-func (b *builder) zoneUsed(owners []nodeIndex, zone zoneIndex) bool {
+// anyInZone reports whether one of the owners is in the zone.
+func (b *builder) anyInZone(owners []nodeIndex, zone zoneIndex) bool {
 	for _, owner := range owners {
 		if owner != noNode && b.zoneOf[owner] == zone {
 			return true
@@ -79,11 +80,11 @@
 	return false
 }
 
-// extraOwners counts the owners that share their zone with one before them.
+// extraOwners counts the owners that share a zone with an earlier owner of the list.
 func (b *builder) extraOwners(owners []nodeIndex) int {
 	extra := 0
 	for i, owner := range owners {
-		if b.zoneUsed(owners[:i], b.zoneOf[owner]) {
+		if b.anyInZone(owners[:i], b.zoneOf[owner]) {
 			extra++
 		}
 	}
--- a/decide/placement/load.go
+++ b/decide/placement/load.go
@@ -2,15 +2,15 @@
 
 import "math"
 
-// load is a rate in fixed point. Sums of it do not depend on the order of the summands, so that all readers
-// find the same loads.
+// load is a rate as a fixed-point number. Sums do not depend on the order of the summands, so all processes compute
+// the same loads.
 type load int64
 
-// loadScale is the number of load units in one message a second. MaxDestinations times MaxRate fits in a load.
+// loadScale is the number of load units in one message a second. A load can represent MaxDestinations times MaxRate.
 const loadScale = 1 << 16
 
-// loadOf returns the rate in fixed point; the smallest load is one unit.
-func loadOf(rate float64) load {
+// loadFromRate converts a rate to fixed point; the result is at least one unit.
+func loadFromRate(rate float64) load {
 	return max(1, load(math.Round(rate*loadScale)))
 }
 
--- a/decide/placement/model_test.go
+++ b/decide/placement/model_test.go
@@ -14,10 +14,11 @@
 	"pgregory.net/rapid"
 )
 
-// changesVariable sets how many random changes TestRandomChanges plays.
+// changesVariable is the environment variable that sets the number of random changes of
+// TestRandomChangesKeepPlacementRules.
 const changesVariable = "PLACEMENT_CHANGES"
 
-// The size of TestRandomChanges: 20,000 changes, fewer in short mode, unless changesVariable is set.
+// TestRandomChangesKeepPlacementRules applies 20,000 changes, fewer in short mode, unless changesVariable is set.
 const (
 	defaultChanges    = 20_000
 	shortChanges      = 5_000
@@ -25,71 +26,72 @@
 	modelShards       = 8
 )
 
-// chooser draws random numbers below n.
-type chooser func(n int) int
+// intChooser returns a random number from 0 to n-1.
+type intChooser func(n int) int
 
-// cluster is an input that changes, with the table that follows it.
+// cluster is a randomly changing input with its current table.
 type cluster struct {
-	choose   chooser
+	choose   intChooser
 	input    Input
 	lostZone []Node
-	// plain clusters have one region's constraint at most and few owners, so that the zones leave a choice.
-	plain      bool
+	// Simple clusters have no destinations restricted to a region, and few owners per destination, so that the zone
+	// rules usually leave a choice.
+	simple     bool
 	table      *Table
 	nextNode   int
 	nextID     DestinationID
 	heavyRates bool
 }
 
-func newCluster(choose chooser) *cluster {
-	w := &cluster{choose: choose, heavyRates: choose(3) == 0, plain: choose(3) == 0}
-	w.heavyRates = w.heavyRates && !w.plain
-	w.input.LoadBound = []float64{1.1, 1.25, 1.5, 2.5}[choose(4)]
+func newCluster(choose intChooser) *cluster {
+	c := &cluster{choose: choose, heavyRates: choose(3) == 0, simple: choose(3) == 0}
+	c.heavyRates = c.heavyRates && !c.simple
+	c.input.LoadBound = []float64{1.1, 1.25, 1.5, 2.5}[choose(4)]
 	for range 3 + choose(12) {
-		w.addNode()
+		c.addNode()
 	}
-	for range w.most(60, 150) - choose(60) {
-		w.addDestination()
+	for range c.limit(60, 150) - choose(60) {
+		c.addDestination()
 	}
-	return w
+	return c
 }
 
-// most returns the number for plain clusters or for the others.
-func (w *cluster) most(other, plain int) int {
-	if w.plain {
-		return plain
+// limit returns one of two limits, depending on whether the cluster is simple.
+func (c *cluster) limit(constrained, simple int) int {
+	if c.simple {
+		return simple
 	}
-	return other
+	return constrained
 }
 
-func (w *cluster) addNode() {
-	zone := w.choose(5)
-	w.input.Nodes = append(w.input.Nodes, Node{
-		ID:     NodeID(fmt.Sprintf("n%d", w.nextNode)),
+func (c *cluster) addNode() {
+	zone := c.choose(5)
+	c.input.Nodes = append(c.input.Nodes, Node{
+		ID:     NodeID(fmt.Sprintf("n%d", c.nextNode)),
 		Region: []string{"east", "west"}[zone%2],
 		Zone:   string(rune('a' + zone)),
-		Weight: []float64{1, 1, 1, 1, 2, 0.5, 4}[w.choose(7)],
+		Weight: []float64{1, 1, 1, 1, 2, 0.5, 4}[c.choose(7)],
 	})
-	w.nextNode++
+	c.nextNode++
 }
 
-func (w *cluster) addDestination() {
-	w.input.Destinations = append(w.input.Destinations, Destination{
-		ID: w.nextID, Rate: w.rate(), Owners: 1 + w.choose(w.most(4, 2)), Region: w.region(),
+func (c *cluster) addDestination() {
+	c.input.Destinations = append(c.input.Destinations, Destination{
+		ID: c.nextID, Rate: c.rate(), Owners: 1 + c.choose(c.limit(4, 2)), Region: c.region(),
 	})
-	w.nextID += DestinationID(1 + w.choose(3))
+	c.nextID += DestinationID(1 + c.choose(3))
 }
 
-func (w *cluster) region() string {
-	if w.plain {
+func (c *cluster) region() string {
+	if c.simple {
 		return ""
 	}
-	return []string{"", "", "", "east", "west"}[w.choose(5)]
+	return []string{"", "", "", "east", "west"}[c.choose(5)]
 }
 
-func (w *cluster) rate() float64 {
-	rate := float64(1+w.choose(40)) / 4
-	if w.heavyRates && w.choose(8) == 0 {
+func (c *cluster) rate() float64 {
+	rate := float64(1+c.choose(40)) / 4
+	if c.heavyRates && c.choose(8) == 0 {
 		rate *= 50
 	}
 	return rate
@@ -98,189 +100,191 @@
 // changeKind is one kind of random change.
 type changeKind struct {
 	name string
-	// apply changes the input; it returns the node that came or went, "" if there is not exactly one.
+	// apply changes the input. It returns the node that was added, removed, drained or returned, or "" if there is
+	// not exactly one.
 	apply func(*cluster) NodeID
 }
 
 var changeKinds = []changeKind{
-	{"add node", func(w *cluster) NodeID {
-		if len(w.input.Nodes) >= 16 {
+	{"add node", func(c *cluster) NodeID {
+		if len(c.input.Nodes) >= 16 {
 			return ""
 		}
-		w.addNode()
-		return w.input.Nodes[len(w.input.Nodes)-1].ID
+		c.addNode()
+		return c.input.Nodes[len(c.input.Nodes)-1].ID
 	}},
-	{"remove node", func(w *cluster) NodeID {
-		if len(w.input.Nodes) == 0 {
+	{"remove node", func(c *cluster) NodeID {
+		if len(c.input.Nodes) == 0 {
 			return ""
 		}
-		index := w.choose(len(w.input.Nodes))
-		id := w.input.Nodes[index].ID
-		w.input.Nodes = slices.Delete(w.input.Nodes, index, index+1)
+		index := c.choose(len(c.input.Nodes))
+		id := c.input.Nodes[index].ID
+		c.input.Nodes = slices.Delete(c.input.Nodes, index, index+1)
 		return id
 	}},
-	{"drain or return", func(w *cluster) NodeID {
-		if len(w.input.Nodes) == 0 {
+	{"drain or return node", func(c *cluster) NodeID {
+		if len(c.input.Nodes) == 0 {
 			return ""
 		}
-		node := &w.input.Nodes[w.choose(len(w.input.Nodes))]
+		node := &c.input.Nodes[c.choose(len(c.input.Nodes))]
 		node.Draining = !node.Draining
 		return node.ID
 	}},
-	{"weight", func(w *cluster) NodeID {
-		if len(w.input.Nodes) > 0 {
-			w.input.Nodes[w.choose(len(w.input.Nodes))].Weight = float64(1+w.choose(8)) / 2
+	{"change weight", func(c *cluster) NodeID {
+		if len(c.input.Nodes) > 0 {
+			c.input.Nodes[c.choose(len(c.input.Nodes))].Weight = float64(1+c.choose(8)) / 2
 		}
 		return ""
 	}},
-	{"zone of a node", func(w *cluster) NodeID {
-		if len(w.input.Nodes) > 0 {
-			w.input.Nodes[w.choose(len(w.input.Nodes))].Zone = string(rune('a' + w.choose(5)))
+	{"change zone of node", func(c *cluster) NodeID {
+		if len(c.input.Nodes) > 0 {
+			c.input.Nodes[c.choose(len(c.input.Nodes))].Zone = string(rune('a' + c.choose(5)))
 		}
 		return ""
 	}},
-	{"load bound", func(w *cluster) NodeID {
-		w.input.LoadBound = []float64{1.1, 1.25, 1.5, 2.5}[w.choose(4)]
+	{"change load bound", func(c *cluster) NodeID {
+		c.input.LoadBound = []float64{1.1, 1.25, 1.5, 2.5}[c.choose(4)]
 		return ""
 	}},
-	{"zone lost or back", func(w *cluster) NodeID {
-		if w.lostZone != nil {
-			w.input.Nodes = append(w.input.Nodes, w.lostZone...)
-			w.lostZone = nil
+	{"lose or return zone", func(c *cluster) NodeID {
+		if c.lostZone != nil {
+			c.input.Nodes = append(c.input.Nodes, c.lostZone...)
+			c.lostZone = nil
 			return ""
 		}
-		zone := string(rune('a' + w.choose(5)))
-		w.input.Nodes = slices.DeleteFunc(w.input.Nodes, func(node Node) bool {
+		zone := string(rune('a' + c.choose(5)))
+		c.input.Nodes = slices.DeleteFunc(c.input.Nodes, func(node Node) bool {
 			if node.Zone == zone {
-				w.lostZone = append(w.lostZone, node)
+				c.lostZone = append(c.lostZone, node)
 			}
 			return node.Zone == zone
 		})
 		return ""
 	}},
-	{"add destination", func(w *cluster) NodeID {
-		if len(w.input.Destinations) < w.most(80, 160) {
-			w.addDestination()
+	{"add destination", func(c *cluster) NodeID {
+		if len(c.input.Destinations) < c.limit(80, 160) {
+			c.addDestination()
 		}
 		return ""
 	}},
-	{"remove destination", func(w *cluster) NodeID {
-		if count := len(w.input.Destinations); count > 0 {
-			index := w.choose(count)
-			w.input.Destinations = slices.Delete(w.input.Destinations, index, index+1)
+	{"remove destination", func(c *cluster) NodeID {
+		if count := len(c.input.Destinations); count > 0 {
+			index := c.choose(count)
+			c.input.Destinations = slices.Delete(c.input.Destinations, index, index+1)
 		}
 		return ""
 	}},
-	{"change destination", func(w *cluster) NodeID {
-		if count := len(w.input.Destinations); count > 0 {
-			destination := &w.input.Destinations[w.choose(count)]
-			switch w.choose(3) {
+	{"change destination", func(c *cluster) NodeID {
+		if count := len(c.input.Destinations); count > 0 {
+			destination := &c.input.Destinations[c.choose(count)]
+			switch c.choose(3) {
 			case 0:
-				destination.Rate = w.rate()
+				destination.Rate = c.rate()
 			case 1:
-				destination.Owners = 1 + w.choose(w.most(4, 2))
+				destination.Owners = 1 + c.choose(c.limit(4, 2))
 			default:
-				destination.Region = w.region()
+				destination.Region = c.region()
 			}
 		}
 		return ""
 	}},
 }
 
-// modelCounts are the figures that the model test reports.
+// modelCounts are the results that the model tests report.
 type modelCounts struct {
 	changes, nodeChanges int
-	// overBound and underLow count nodes that no single move helps; flexibleOverBound and flexibleUnderLow are those in
-	// clusters where the rules for zones leave a choice.
-	overBound, underLow, flexibleOverBound, flexibleUnderLow int
-	// worstMoved is the largest excess of moved load over the node's own part, in largest parts.
-	worstMoved float64
-	movedOwn   float64
-	moved      float64
+	// overloaded and underloaded count nodes beyond their bounds that no single move helps. choiceOverloaded and
+	// choiceUnderloaded count those in clusters where the zone rules leave a choice.
+	overloaded, underloaded, choiceOverloaded, choiceUnderloaded int
+	// maxExcessMoved is the largest load moved beyond the load of the changed node, in multiples of the largest slot
+	// load.
+	maxExcessMoved float64
+	ownLoad        float64
+	moved          float64
 }
 
 func (c *modelCounts) add(other modelCounts) {
 	c.changes += other.changes
-	c.overBound += other.overBound
-	c.underLow += other.underLow
-	c.flexibleOverBound += other.flexibleOverBound
-	c.flexibleUnderLow += other.flexibleUnderLow
+	c.overloaded += other.overloaded
+	c.underloaded += other.underloaded
+	c.choiceOverloaded += other.choiceOverloaded
+	c.choiceUnderloaded += other.choiceUnderloaded
 	c.nodeChanges += other.nodeChanges
-	c.worstMoved = max(c.worstMoved, other.worstMoved)
+	c.maxExcessMoved = max(c.maxExcessMoved, other.maxExcessMoved)
 	c.moved += other.moved
-	c.movedOwn += other.movedOwn
+	c.ownLoad += other.ownLoad
 }
 
-// reporter is what a test of the standard library and one of rapid have in common.
-type reporter interface {
+// testReporter is the subset of methods that testing.T and rapid.T share.
+type testReporter interface {
 	Helper()
 	Fatalf(format string, arguments ...any)
 }
 
-// step makes one random change and checks the table that follows.
-func (w *cluster) step(t reporter, counts *modelCounts) {
+// step makes one random change and checks the resulting table.
+func (c *cluster) step(t testReporter, counts *modelCounts) {
 	t.Helper()
-	before := Input{slices.Clone(w.input.Nodes), slices.Clone(w.input.Destinations), w.input.LoadBound}
-	kind := changeKinds[w.choose(len(changeKinds))]
-	node := kind.apply(w)
-	table, err := Compute(w.table, w.input)
+	before := Input{slices.Clone(c.input.Nodes), slices.Clone(c.input.Destinations), c.input.LoadBound}
+	kind := changeKinds[c.choose(len(changeKinds))]
+	node := kind.apply(c)
+	table, err := Compute(c.table, c.input)
 	if err != nil {
 		t.Fatalf("%s: %v", kind.name, err)
 	}
-	o := newOracle(w.input, table)
-	overBefore, underBefore := counts.overBound, counts.underLow
-	if fault := o.fault(counts); fault != "" {
-		t.Fatalf("after %q: %s\nbefore %+v\nafter %+v", kind.name, fault, before, w.input)
+	o := newOracle(c.input, table)
+	overBefore, underBefore := counts.overloaded, counts.underloaded
+	if violation := o.violation(counts); violation != "" {
+		t.Fatalf("after change %q: %s\nbefore %+v\nafter %+v", kind.name, violation, before, c.input)
 	}
-	if o.flexible() {
-		counts.flexibleOverBound += counts.overBound - overBefore
-		counts.flexibleUnderLow += counts.underLow - underBefore
+	if o.hasZoneChoice() {
+		counts.choiceOverloaded += counts.overloaded - overBefore
+		counts.choiceUnderloaded += counts.underloaded - underBefore
 	}
-	if w.table != nil && node != "" {
-		o.checkMovement(t, before, w.table, node, kind.name, counts)
+	if c.table != nil && node != "" {
+		o.checkMovement(t, before, c.table, node, kind.name, counts)
 	}
-	again, err := Compute(table, w.input)
+	repeated, err := Compute(table, c.input)
 	if err != nil {
-		t.Fatalf("again: %v", err)
+		t.Fatalf("repeated Compute: %v", err)
 	}
-	if changed := again.Changed(table); len(changed) > 0 {
-		t.Fatalf("after %q: the same input moved %v\n%+v", kind.name, changed, w.input)
+	if changed := repeated.Changed(table); len(changed) > 0 {
+		t.Fatalf("after change %q: repeated Compute with the same input changed the owners of %v\n%+v", kind.name, changed, c.input)
 	}
-	w.table = table
+	c.table = table
 	counts.changes++
 }
 
-// oracle checks a table by plain lists and maps.
+// oracle checks a table with simple lists and maps.
 type oracle struct {
 	input Input
 	table *Table
 	nodes map[NodeID]Node
 	zones map[NodeID]string
-	// byRegion has what destinations of each region may use.
-	byRegion  map[string]eligibleNodes
-	unplaced  map[DestinationID]bool
-	large     map[DestinationID]bool
-	owners    map[DestinationID][]NodeID
-	parts     map[DestinationID]float64
-	regular   map[NodeID]float64
-	largeLoad map[NodeID]float64
-	// largest is the largest regular part of each node, and largestOfAll of all nodes.
-	largest      map[NodeID]float64
-	largestOfAll float64
-}
-
-// eligibleNodes are nodes that a destination may use, and the number of their zones.
+	// byRegion contains the nodes that destinations of each region may use.
+	byRegion     map[string]eligibleNodes
+	unplaced     map[DestinationID]bool
+	large        map[DestinationID]bool
+	owners       map[DestinationID][]NodeID
+	slotLoads    map[DestinationID]float64
+	regularLoads map[NodeID]float64
+	largeLoads   map[NodeID]float64
+	// largest is the largest regular slot load of each node, and largestOverall that of all nodes.
+	largest        map[NodeID]float64
+	largestOverall float64
+}
+
+// eligibleNodes contains the nodes that a destination may use, and the number of their zones.
 type eligibleNodes struct {
 	nodes []NodeID
 	zones int
 }
 
-// rounding is the error that fixed point arithmetic may make in the load of a node.
+// rounding is the error of fixed-point arithmetic that is tolerated in the load of a node.
 const rounding = 0.01
 
-// roundingOfAll is the error in the sum of all loads: a part may lose one unit.
-func (o *oracle) roundingOfAll() float64 {
-	return rounding + float64(len(o.parts)*MaxOwners)/loadScale
+// totalRounding returns the tolerated error in the sum of all loads: each slot may lose one unit.
+func (o *oracle) totalRounding() float64 {
+	return rounding + float64(len(o.slotLoads)*MaxOwners)/loadScale
 }
 
 func newOracle(input Input, table *Table) *oracle {
@@ -288,7 +292,7 @@
 		input: input, table: table,
 		nodes: map[NodeID]Node{}, zones: map[NodeID]string{},
 		byRegion: map[string]eligibleNodes{}, unplaced: map[DestinationID]bool{}, large: map[DestinationID]bool{}, owners: map[DestinationID][]NodeID{},
-		parts: map[DestinationID]float64{}, regular: map[NodeID]float64{}, largeLoad: map[NodeID]float64{},
+		slotLoads: map[DestinationID]float64{}, regularLoads: map[NodeID]float64{}, largeLoads: map[NodeID]float64{},
 		largest: map[NodeID]float64{},
 	}
 	for _, node := range input.Nodes {
@@ -298,7 +302,7 @@
 	for _, unplaced := range table.Unplaced() {
 		o.unplaced[unplaced.Destination] = true
 	}
-	for _, id := range table.larges {
+	for _, id := range table.largeIDs {
 		o.large[id] = true
 	}
 	for _, destination := range input.Destinations {
@@ -310,16 +314,16 @@
 func (o *oracle) addDestination(destination Destination) {
 	owners := o.table.Owners(destination.ID)
 	o.owners[destination.ID] = owners
-	part := destination.Rate / float64(max(1, len(owners)))
-	o.parts[destination.ID] = part
+	slotLoad := destination.Rate / float64(max(1, len(owners)))
+	o.slotLoads[destination.ID] = slotLoad
 	for _, owner := range owners {
 		if o.large[destination.ID] {
-			o.largeLoad[owner] += part
+			o.largeLoads[owner] += slotLoad
 			continue
 		}
-		o.regular[owner] += part
-		o.largest[owner] = max(o.largest[owner], part)
-		o.largestOfAll = max(o.largestOfAll, part)
+		o.regularLoads[owner] += slotLoad
+		o.largest[owner] = max(o.largest[owner], slotLoad)
+		o.largestOverall = max(o.largestOverall, slotLoad)
 	}
 }
 
@@ -349,99 +353,101 @@
 	return distinct
 }
 
-// fault returns what is wrong with the table, "" for nothing.
-func (o *oracle) fault(counts *modelCounts) string {
+// violation returns a description of the first rule that the table violates, or "".
+func (o *oracle) violation(counts *modelCounts) string {
 	for _, destination := range o.input.Destinations {
-		if fault := o.ownersFault(destination); fault != "" {
-			return fault
+		if violation := o.ownersViolation(destination); violation != "" {
+			return violation
 		}
 	}
-	if fault := o.loadFault(); fault != "" {
-		return fault
+	if violation := o.loadViolation(); violation != "" {
+		return violation
 	}
-	return o.balanceFault(counts)
+	return o.balanceViolation(counts)
 }
 
-// ownersFault checks rules 1 to 3 of the package for one destination.
-func (o *oracle) ownersFault(destination Destination) string {
+// ownersViolation checks rules 1 to 3 of the package for one destination.
+func (o *oracle) ownersViolation(destination Destination) string {
 	owners := o.owners[destination.ID]
 	eligible, zones := o.eligible(destination)
 	for i, owner := range owners {
 		if !slices.Contains(eligible, owner) || slices.Contains(owners[:i], owner) {
-			return fmt.Sprintf("destination %d: owner %q in %v is not eligible or there twice", destination.ID, owner, owners)
+			return fmt.Sprintf("destination %d: owner %q in %v is not eligible or repeated", destination.ID, owner, owners)
 		}
 	}
 	if want := min(destination.Owners, len(eligible)); len(owners) != want {
-		return fmt.Sprintf("destination %d: owners %v, not %d", destination.ID, owners, want)
+		return fmt.Sprintf("destination %d: got owners %v, want %d", destination.ID, owners, want)
 	}
 	if want := min(len(owners), zones); o.distinctZones(owners) != want {
-		return fmt.Sprintf("destination %d: owners %v are not in %d zones", destination.ID, owners, want)
+		return fmt.Sprintf("destination %d: got owners %v, want them in %d zones", destination.ID, owners, want)
 	}
 	unplaced := o.unplaced[destination.ID]
 	if unplaced != (len(eligible) == 0) {
-		return fmt.Sprintf("destination %d: unplaced %v with %d eligible nodes", destination.ID, unplaced, len(eligible))
+		return fmt.Sprintf("destination %d: got unplaced %v with %d eligible nodes", destination.ID, unplaced, len(eligible))
 	}
 	return ""
 }
 
-// loadFault checks that the loads are the sums of the parts and the fair loads sum up to the same.
-func (o *oracle) loadFault() string {
-	var loads, fairs float64
+// loadViolation checks that each load is the sum of its slot loads, and that the fair loads have the same total as
+// the loads.
+func (o *oracle) loadViolation() string {
+	var loads, fairLoads float64
 	for _, node := range o.input.Nodes {
-		want := o.regular[node.ID] + o.largeLoad[node.ID]
+		want := o.regularLoads[node.ID] + o.largeLoads[node.ID]
 		if got := o.table.Load(node.ID); math.Abs(got-want) > rounding {
-			return fmt.Sprintf("load of %q is %v, not %v", node.ID, got, want)
+			return fmt.Sprintf("load of node %q: got %v, want %v", node.ID, got, want)
 		}
 		loads += want
-		fairs += o.table.FairLoad(node.ID)
+		fairLoads += o.table.FairLoad(node.ID)
 	}
-	if math.Abs(loads-fairs) > o.roundingOfAll() {
-		return fmt.Sprintf("the fair loads sum up to %v, the loads to %v", fairs, loads)
+	if math.Abs(loads-fairLoads) > o.totalRounding() {
+		return fmt.Sprintf("sum of fair loads: got %v, want %v, the sum of loads", fairLoads, loads)
 	}
 	return ""
 }
 
-// balanceFault checks the bounds of load. A node beyond them is only allowed where no single move helps; these
-// are counted.
-func (o *oracle) balanceFault(counts *modelCounts) string {
+// balanceViolation checks the load bounds. A node beyond them is a violation only if a single move helps; otherwise
+// it is counted.
+func (o *oracle) balanceViolation(counts *modelCounts) string {
 	for _, id := range slices.Sorted(maps.Keys(o.nodes)) {
-		fair := o.table.FairLoad(id) - o.largeLoad[id]
-		if o.regular[id]-o.largest[id] > fair*o.input.LoadBound+rounding {
-			counts.overBound++
-			if move := o.relievingMove(id); move != "" {
-				return fmt.Sprintf("node %q has %v and a fair load of %v; %s helps", id, o.regular[id], fair, move)
+		fair := o.table.FairLoad(id) - o.largeLoads[id]
+		if o.regularLoads[id]-o.largest[id] > fair*o.input.LoadBound+rounding {
+			counts.overloaded++
+			if move := o.helpfulMoveFrom(id); move != "" {
+				return fmt.Sprintf("node %q: load %v with fair load %v, although moving %s helps", id, o.regularLoads[id], fair, move)
 			}
 		}
 		low := fair * (2 - o.input.LoadBound)
-		if o.regular[id]+o.largestOfAll < low-rounding {
-			counts.underLow++
+		if o.regularLoads[id]+o.largestOverall < low-rounding {
+			counts.underloaded++
 		}
-		if o.regular[id] < low-rounding {
-			if move := o.raisingMove(id); move != "" {
-				return fmt.Sprintf("node %q has %v and a fair load of %v; %s helps", id, o.regular[id], fair, move)
+		if o.regularLoads[id] < low-rounding {
+			if move := o.helpfulMoveTo(id); move != "" {
+				return fmt.Sprintf("node %q: load %v with fair load %v, although moving %s helps", id, o.regularLoads[id], fair, move)
 			}
 		}
 	}
 	return ""
 }
 
-func (o *oracle) bound(id NodeID) float64 {
-	return (o.table.FairLoad(id) - o.largeLoad[id]) * o.input.LoadBound
+func (o *oracle) upperBound(id NodeID) float64 {
+	return (o.table.FairLoad(id) - o.largeLoads[id]) * o.input.LoadBound
 }
 
-// relievingMove names a move of one of the node's parts to a node within its bound. The largest part stays.
-func (o *oracle) relievingMove(from NodeID) string {
+// helpfulMoveFrom returns a description of a move of one of the slots of the node, except its largest, to a node
+// within its upper bound, or "".
+func (o *oracle) helpfulMoveFrom(from NodeID) string {
 	largestSeen := false
 	for _, destination := range o.input.Destinations {
 		if o.large[destination.ID] || !slices.Contains(o.owners[destination.ID], from) {
 			continue
 		}
-		if !largestSeen && o.parts[destination.ID] == o.largest[from] {
+		if !largestSeen && o.slotLoads[destination.ID] == o.largest[from] {
 			largestSeen = true
 			continue
 		}
 		for _, to := range o.input.Nodes {
-			if o.mayMove(destination, from, to.ID) && o.regular[to.ID] <= o.bound(to.ID)-rounding {
+			if o.canMove(destination, from, to.ID) && o.regularLoads[to.ID] <= o.upperBound(to.ID)-rounding {
 				return fmt.Sprintf("destination %d to %q", destination.ID, to.ID)
 			}
 		}
@@ -449,18 +455,18 @@
 	return ""
 }
 
-// raisingMove names a move of a part from a node over its fair load, that stays over its low load, to the node,
-// which stays within its bound.
-func (o *oracle) raisingMove(to NodeID) string {
+// helpfulMoveTo returns a description of a move of a slot to the node, or "". The donor must be above its fair load
+// before the move and above its lower bound after it; the receiver must stay within its upper bound.
+func (o *oracle) helpfulMoveTo(to NodeID) string {
 	for _, destination := range o.input.Destinations {
-		part := o.parts[destination.ID]
-		if o.large[destination.ID] || o.regular[to]+part > o.bound(to)-rounding {
+		slotLoad := o.slotLoads[destination.ID]
+		if o.large[destination.ID] || o.regularLoads[to]+slotLoad > o.upperBound(to)-rounding {
 			continue
 		}
 		for _, from := range o.owners[destination.ID] {
-			fair := o.table.FairLoad(from) - o.largeLoad[from]
-			gives := o.regular[from] > fair+rounding && o.regular[from]-part > fair*max(0, 2-o.input.LoadBound)+rounding
-			if gives && o.mayMove(destination, from, to) {
+			fair := o.table.FairLoad(from) - o.largeLoads[from]
+			canDonate := o.regularLoads[from] > fair+rounding && o.regularLoads[from]-slotLoad > fair*max(0, 2-o.input.LoadBound)+rounding
+			if canDonate && o.canMove(destination, from, to) {
 				return fmt.Sprintf("destination %d from %q", destination.ID, from)
 			}
 		}
@@ -468,8 +474,8 @@
 	return ""
 }
 
-// mayMove reports whether the owners may change so under rules 1 to 3.
-func (o *oracle) mayMove(destination Destination, from, to NodeID) bool {
+// canMove reports whether rules 1 to 3 allow the destination to move between the two nodes.
+func (o *oracle) canMove(destination Destination, from, to NodeID) bool {
 	owners := o.owners[destination.ID]
 	eligible, zones := o.eligible(destination)
 	if !slices.Contains(eligible, to) || slices.Contains(owners, to) {
@@ -480,7 +486,8 @@
 	return o.distinctZones(after) == min(len(after), zones)
 }
 
-// movedLoad sums the parts that have an owner which they did not have before.
+// movedLoad returns the sum of the slot loads at owners that did not own the destination in the previous table.
+// Destinations without owners there are ignored.
 func movedLoad(table, previous *Table) float64 {
 	var moved float64
 	for _, id := range table.Changed(previous) {
@@ -499,9 +506,9 @@
 	return moved
 }
 
-// flexible reports that the rules for zones leave a choice for each destination: one zone more than owners, and no large
-// parts.
-func (o *oracle) flexible() bool {
+// hasZoneChoice reports whether the zone rules leave a choice for each destination: there are more zones than owners,
+// and no large destinations.
+func (o *oracle) hasZoneChoice() bool {
 	if len(o.large) > 0 {
 		return false
 	}
@@ -513,48 +520,49 @@
 	return true
 }
 
-// checkMovement bounds what one node's coming or going moves where there is room both before and after.
-func (o *oracle) checkMovement(t reporter, before Input, previous *Table, node NodeID, kind string, counts *modelCounts) {
+// checkMovement limits the load that a change of one node moves, if the zone rules leave a choice both before and
+// after it.
+func (o *oracle) checkMovement(t testReporter, before Input, previous *Table, node NodeID, kind string, counts *modelCounts) {
 	t.Helper()
 	earlier := newOracle(before, previous)
-	if !o.flexible() || !earlier.flexible() {
+	if !o.hasZoneChoice() || !earlier.hasZoneChoice() {
 		return
 	}
-	own := max(previous.Load(node), previous.FairLoad(node), o.table.Load(node), o.table.FairLoad(node))
+	ownLoad := max(previous.Load(node), previous.FairLoad(node), o.table.Load(node), o.table.FairLoad(node))
 	moved := movedLoad(o.table, previous)
 	counts.nodeChanges++
 	counts.moved += moved
-	counts.movedOwn += own
-	if o.largestOfAll > 0 {
-		counts.worstMoved = max(counts.worstMoved, (moved-own)/o.largestOfAll)
+	counts.ownLoad += ownLoad
+	if o.largestOverall > 0 {
+		counts.maxExcessMoved = max(counts.maxExcessMoved, (moved-ownLoad)/o.largestOverall)
 	}
-	if most := nodeMovement*own + movementParts*o.largestOfAll; moved > most+rounding {
-		t.Fatalf("after %q: %v moved, the node's part is %v and the largest %v\nbefore %+v\nafter %+v",
-			kind, moved, own, o.largestOfAll, before, o.input)
+	if limit := maxNodeMovement*ownLoad + extraMovementSlots*o.largestOverall; moved > limit+rounding {
+		t.Fatalf("after change %q: got moved load %v, node load %v, largest slot load %v\nbefore %+v\nafter %+v",
+			kind, moved, ownLoad, o.largestOverall, before, o.input)
 	}
 }
 
-// movementParts is how many of the largest parts a change of one node may move beyond nodeMovement times its own
-// part: in a small cluster one part is a good deal of a node's load.
-const movementParts = 4
+// extraMovementSlots is how many of the largest slot loads a change of one node may move beyond maxNodeMovement times
+// the load of the node: in a small cluster one slot is a considerable part of the load of a node.
+const extraMovementSlots = 4
 
-// The oracle allows a node beyond its bounds where no single move helps. These are how many random changes there
-// are for one such node at least.
+// The oracle tolerates a node beyond its bounds if no single move helps. These are the minimum numbers of random
+// changes for each such node.
 const (
-	changesPerOverBound = 1000
-	changesPerUnderLow  = 200
+	changesPerOverloaded  = 1000
+	changesPerUnderloaded = 200
 )
 
-// TestRandomChanges plays random changes over many small clusters and checks each table.
-func TestRandomChanges(t *testing.T) {
-	changes := changesToPlay(t)
+// Random changes are applied to many small clusters, and each table is checked against the rules of the package.
+func TestRandomChangesKeepPlacementRules(t *testing.T) {
+	changes := changesToRun(t)
 	var mutex sync.Mutex
 	var total modelCounts
 	t.Run("shards", func(t *testing.T) {
 		for shard := range modelShards {
 			t.Run(fmt.Sprintf("seed %d", shard+1), func(t *testing.T) {
 				t.Parallel()
-				counts := playClusters(t, uint64(shard+1), changes/modelShards)
+				counts := runClusters(t, uint64(shard+1), changes/modelShards)
 				mutex.Lock()
 				defer mutex.Unlock()
 				total.add(counts)
@@ -562,14 +570,14 @@
 		}
 	})
 	t.Logf("seeds 1 to %d, %d changes", modelShards, total.changes)
-	t.Logf("no single move helps: nodes over the bound %d, under the low load %d; where zones leave a choice %d and %d",
-		total.overBound, total.underLow, total.flexibleOverBound, total.flexibleUnderLow)
-	t.Logf("%d changes of one node with room: moved %.2f times the node's own part, at most own part and %.1f parts",
-		total.nodeChanges, total.moved/total.movedOwn, total.worstMoved)
+	t.Logf("no single move helps: %d nodes over the upper bound, %d under the lower bound; where zones leave a choice %d and %d",
+		total.overloaded, total.underloaded, total.choiceOverloaded, total.choiceUnderloaded)
+	t.Logf("%d changes of one node where zones leave a choice: moved %.2f times its load, at most its load and %.1f largest slot loads",
+		total.nodeChanges, total.moved/total.ownLoad, total.maxExcessMoved)
 	total.check(t)
 }
 
-func changesToPlay(t *testing.T) int {
+func changesToRun(t *testing.T) int {
 	t.Helper()
 	value := os.Getenv(changesVariable)
 	switch {
@@ -587,34 +595,34 @@
 
 func (c *modelCounts) check(t *testing.T) {
 	t.Helper()
-	if c.overBound > c.changes/changesPerOverBound || c.underLow > c.changes/changesPerUnderLow {
-		t.Errorf("too many nodes beyond their bounds")
+	if c.overloaded > c.changes/changesPerOverloaded || c.underloaded > c.changes/changesPerUnderloaded {
+		t.Errorf("got %d nodes over the upper bound and %d under the lower bound in %d changes", c.overloaded, c.underloaded, c.changes)
 	}
-	if c.flexibleUnderLow > 0 {
-		t.Errorf("nodes under their low load although the zones leave a choice")
+	if c.choiceUnderloaded > 0 {
+		t.Errorf("got %d nodes under the lower bound although the zone rules leave a choice, want none", c.choiceUnderloaded)
 	}
 }
 
-func playClusters(t *testing.T, seed uint64, changes int) modelCounts {
+func runClusters(t *testing.T, seed uint64, changes int) modelCounts {
 	t.Helper()
 	random := rand.New(rand.NewPCG(seed, 0))
 	var counts modelCounts
 	for counts.changes < changes {
-		w := newCluster(random.IntN)
+		c := newCluster(random.IntN)
 		for range min(changesPerCluster, changes-counts.changes) {
-			w.step(t, &counts)
+			c.step(t, &counts)
 		}
 	}
 	return counts
 }
 
-// TestShrinkableChanges plays the same changes by rapid, which finds a short history for a fault.
-func TestShrinkableChanges(t *testing.T) {
+// The same changes are drawn by rapid, which shrinks a failing history to a short one.
+func TestShrinkableChangesKeepPlacementRules(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newCluster(func(n int) int { return rapid.IntRange(0, n-1).Draw(t, "choice") })
+		c := newCluster(func(n int) int { return rapid.IntRange(0, n-1).Draw(t, "choice") })
 		var counts modelCounts
 		for range rapid.IntRange(1, 20).Draw(t, "changes") {
-			w.step(t, &counts)
+			c.step(t, &counts)
 		}
 	})
 }
--- a/decide/placement/pick.go
+++ b/decide/placement/pick.go
@@ -5,41 +5,43 @@
 	"slices"
 )
 
-// capacityRule is what a node must have left to be picked for a slot. capacityForLarge is by the load of large parts
-// only, and used by itself; the others are by all of the load, from the strictest to the loosest.
+// capacityRule is the capacity condition that a node must meet to be picked for a slot. capacityForLarge considers
+// the load of large destinations only and is used alone. The other rules consider the regular load and are declared
+// from strictest to loosest.
 type capacityRule uint8
 
 const (
-	// capacityForLarge is a node that owns no large part, or none that go over its bound with this one.
+	// capacityForLarge accepts a node without a large slot, or one whose large slots stay within largeBound with this
+	// one.
 	capacityForLarge capacityRule = iota
-	// capacityBelowLow is a node under its low load that stays within its bound with the part.
-	capacityBelowLow
-	// capacityForPart is a node that stays within its bound with the part.
-	capacityForPart
-	// capacityUpToBound is a node that is within its bound before it gets the part.
-	capacityUpToBound
+	// capacityUnderloaded accepts a node below its lower bound that stays within its upper bound with the slot.
+	capacityUnderloaded
+	// capacityForSlot accepts a node that stays within its upper bound with the slot.
+	capacityForSlot
+	// capacityWithinBound accepts a node that is within its upper bound before it receives the slot.
+	capacityWithinBound
 )
 
-// hasCapacity reports whether the node can take the part.
-func (b *builder) hasCapacity(node nodeIndex, part load, rule capacityRule) bool {
+// hasCapacity reports whether the node meets the rule for a slot load.
+func (b *builder) hasCapacity(node nodeIndex, slotLoad load, rule capacityRule) bool {
 	switch rule {
 	case capacityForLarge:
-		return b.largeSum[node] == 0 || b.largeSum[node]+part <= b.largeBound[node]
-	case capacityBelowLow:
-		return b.regular[node] < b.low[node] && b.regular[node]+part <= b.bound[node]
-	case capacityForPart:
-		return b.regular[node]+part <= b.bound[node]
+		return b.largeSum[node] == 0 || b.largeSum[node]+slotLoad <= b.largeBound[node]
+	case capacityUnderloaded:
+		return b.regular[node] < b.lowerBound[node] && b.regular[node]+slotLoad <= b.upperBound[node]
+	case capacityForSlot:
+		return b.regular[node]+slotLoad <= b.upperBound[node]
 	default:
-		return b.regular[node] <= b.bound[node]
+		return b.regular[node] <= b.upperBound[node]
 	}
 }
 
-// pickWithCapacity returns the best ranked node for a slot under the strictest rule that any node meets, and noNode
-// when none meets even the loosest one.
+// pickWithCapacity returns the best ranked node for a slot under the strictest rule that any node meets, or noNode if
+// no node meets the loosest rule.
 func (b *builder) pickWithCapacity(index, slot int, loosest capacityRule) nodeIndex {
-	first := capacityForPart
-	if b.preferLow {
-		first = capacityBelowLow
+	first := capacityForSlot
+	if b.preferUnderloaded {
+		first = capacityUnderloaded
 	}
 	for rule := first; rule <= loosest; rule++ {
 		if node := b.pick(index, slot, rule); node != noNode {
@@ -49,26 +51,27 @@
 	return noNode
 }
 
-// pick returns the best ranked node with capacity that may take the slot, noNode if there is none.
+// pick returns the best ranked node that may take the slot and meets the rule, or noNode.
 func (b *builder) pick(index, slot int, rule capacityRule) nodeIndex {
-	used := b.usedZones(index, slot)
+	constraint := b.zoneConstraint(index, slot)
 	for _, ranked := range b.zonesByRank(index) {
-		if used.closed(b, ranked.zone) {
+		if constraint.excludes(b, ranked.zone) {
 			continue
 		}
-		if node := b.bestOfZone(ranked.zone, index, rule); node != noNode {
+		if node := b.bestInZone(ranked.zone, index, rule); node != noNode {
 			return node
 		}
 	}
 	return noNode
 }
 
-// bestOfZone returns the best ranked node of the zone that has capacity and does not own the destination yet.
-func (b *builder) bestOfZone(zone zoneIndex, index int, rule capacityRule) nodeIndex {
-	part, destination, owners := b.parts[index], b.ids[index], b.ownersAt(index)
+// bestInZone returns the best ranked node of the zone that meets the rule and does not own the destination yet, or
+// noNode.
+func (b *builder) bestInZone(zone zoneIndex, index int, rule capacityRule) nodeIndex {
+	slotLoad, destination, owners := b.slotLoads[index], b.ids[index], b.ownersAt(index)
 	best, bestScore := noNode, math.Inf(1)
 	for _, node := range b.zones[zone].nodes {
-		if !b.hasCapacity(node, part, rule) {
+		if !b.hasCapacity(node, slotLoad, rule) {
 			continue
 		}
 		score, lower := b.nodeScoreBelow(node, destination, bestScore)
@@ -79,16 +82,16 @@
 	return best
 }
 
-// pickLeast returns the node with the least cost that may take the slot.
-func (b *builder) pickLeast(index, slot int, cost func(nodeIndex) float64) nodeIndex {
+// pickLeastCost returns the node with the lowest cost that may take the slot, regardless of capacity.
+func (b *builder) pickLeastCost(index, slot int, cost func(nodeIndex) float64) nodeIndex {
 	best, bestCost := noNode, 0.0
-	used := b.usedZones(index, slot)
+	constraint := b.zoneConstraint(index, slot)
 	for _, zone := range b.scopeAt(index).zones {
-		if used.closed(b, zone) {
+		if constraint.excludes(b, zone) {
 			continue
 		}
 		for _, node := range b.zones[zone].nodes {
-			if slices.Contains(used.owners, node) {
+			if slices.Contains(constraint.owners, node) {
 				continue
 			}
 			if c := cost(node); best == noNode || c < bestCost {
@@ -99,7 +102,8 @@
 	return best
 }
 
-// zonesByRank returns the zones that the destination may use, best first.
+// zonesByRank returns the zones that the destination may use, best ranked first. The result for the last index is
+// cached.
 func (b *builder) zonesByRank(index int) []rankedZone {
 	if b.zoneOrderIndex != index {
 		b.zoneOrder = b.rankZones(b.zoneOrder[:0], *b.scopeAt(index), b.ids[index])
@@ -108,38 +112,37 @@
 	return b.zoneOrder
 }
 
-// usedZones is what the other owners of a destination leave open for one of its slots.
-type usedZones struct {
+// zoneConstraint determines which zones the other owners of a destination leave available for one slot.
+type zoneConstraint struct {
 	owners []nodeIndex
 	slot   int
-	// all reports that the other owners are in as many zones as they have to be.
-	all bool
+	// satisfied reports whether the other owners are already in the required number of zones.
+	satisfied bool
 }
 
-func (b *builder) usedZones(index, slot int) usedZones {
-	used := usedZones{owners: b.ownersAt(index), slot: slot}
+func (b *builder) zoneConstraint(index, slot int) zoneConstraint {
+	constraint := zoneConstraint{owners: b.ownersAt(index), slot: slot}
 	distinct := 0
-	for i, owner := range used.owners {
-		if i != slot && owner != noNode && !used.before(b, i, b.zoneOf[owner]) {
+	for i, owner := range constraint.owners {
+		if i != slot && owner != noNode && !constraint.hasOwnerInZone(b, i, b.zoneOf[owner]) {
 			distinct++
 		}
 	}
-	used.all = distinct >= b.zonesWanted(index)
-	return used
+	constraint.satisfied = distinct >= b.zonesWanted(index)
+	return constraint
 }
 
-// before reports whether one of the owners up to the limit is in the zone. The slot that is to be filled does not
-// count.
-func (u usedZones) before(b *builder, limit int, zone zoneIndex) bool {
-	for i, owner := range u.owners[:limit] {
-		if i != u.slot && owner != noNode && b.zoneOf[owner] == zone {
+// hasOwnerInZone reports whether one of the first limit owners is in the zone. The slot to be filled is ignored.
+func (c zoneConstraint) hasOwnerInZone(b *builder, limit int, zone zoneIndex) bool {
+	for i, owner := range c.owners[:limit] {
+		if i != c.slot && owner != noNode && b.zoneOf[owner] == zone {
 			return true
 		}
 	}
 	return false
 }
 
-// closed reports that the slot can't be filled from the zone.
-func (u usedZones) closed(b *builder, zone zoneIndex) bool {
-	return !u.all && u.before(b, len(u.owners), zone)
+// excludes reports whether the slot cannot be filled from the zone.
+func (c zoneConstraint) excludes(b *builder, zone zoneIndex) bool {
+	return !c.satisfied && c.hasOwnerInZone(b, len(c.owners), zone)
 }
--- a/decide/placement/rank.go
+++ b/decide/placement/rank.go
@@ -2,21 +2,22 @@
 
 import "math/bits"
 
-// Candidates are ranked by weighted rendezvous hashing: each has a pseudo-random exponential variable with its
-// weight as rate, drawn from the hash of its name and the destination, and the smallest comes first. Zones are
-// ranked in this way, and then nodes within a zone, so that a ranking reads a few zones and not every node.
+// Candidates are ranked by weighted rendezvous hashing. The score of a candidate is an exponentially distributed
+// pseudo-random number with the weight of the candidate as rate parameter, derived from the hash of its name and the
+// destination. The lowest score ranks first. Zones are ranked first and then the nodes within a zone, so that a ranking
+// usually examines the nodes of a few zones only.
 //
-// All steps are in integers or are a single correctly rounded operation, so that the ranks are the same on
+// Each step uses integers or a single correctly rounded floating-point operation, so that the ranks are the same on
 // every processor.
 
 const (
 	// logBits is the number of bits after the binary point of a logarithm.
 	logBits = 32
-	// logTableBits is the number of leading bits of the mantissa that index the table of logarithms.
+	// logTableBits is the number of leading fraction bits of the mantissa that index logTable.
 	logTableBits = 10
 )
 
-// logTable has log2(1 + i/1024) for i from 0 to 1024.
+// logTable contains log2(1 + i/1024) in fixed point for i from 0 to 1024.
 var logTable = newLogTable()
 
 func newLogTable() *[1<<logTableBits + 1]uint64 {
@@ -28,7 +29,8 @@
 	return &table
 }
 
-// log2Mantissa returns the logarithm of a mantissa between 1 (1<<63) and 2, bit by bit by squaring.
+// log2Mantissa returns the base-2 logarithm of a mantissa from 1 (represented as 1<<63) to 2. It computes the result
+// bit by bit by repeated squaring.
 func log2Mantissa(mantissa uint64) uint64 {
 	var result uint64
 	for range logBits {
@@ -56,8 +58,8 @@
 	return uint64(zeros+1)<<logBits - fraction
 }
 
-// mix hashes the seed of a candidate and a destination.
-func mix(seed uint64, destination DestinationID) uint64 {
+// hashCandidate returns a hash of the seed of a candidate and a destination.
+func hashCandidate(seed uint64, destination DestinationID) uint64 {
 	hash := seed ^ (uint64(destination)+1)*0x9e3779b97f4a7c15
 	hash = (hash ^ hash>>30) * 0xbf58476d1ce4e5b9
 	hash = (hash ^ hash>>27) * 0x94d049bb133111eb
@@ -66,23 +68,23 @@
 
 // nodeScore returns the score of a node within its zone; the lowest ranks first.
 func (t *topology) nodeScore(node nodeIndex, destination DestinationID) float64 {
-	return float64(negativeLog2(mix(t.seeds[node], destination))) * t.inverse[node]
+	return float64(negativeLog2(hashCandidate(t.seeds[node], destination))) * t.inverseWeights[node]
 }
 
-// nodeScoreBelow returns the node's score and whether it is below the limit. Most nodes are not, which
-// -log2(x) >= 1-x shows without computing the logarithm.
+// nodeScoreBelow returns the score of a node and true if the score is below the limit. For most nodes it is not, and
+// the lower bound -log2(x) >= 1-x shows this without computing the logarithm; the returned score is 0 then.
 func (t *topology) nodeScoreBelow(node nodeIndex, destination DestinationID, limit float64) (float64, bool) {
-	hash := mix(t.seeds[node], destination)
-	if float64(^hash>>(64-logBits))*t.inverse[node] >= limit {
+	hash := hashCandidate(t.seeds[node], destination)
+	if float64(^hash>>(64-logBits))*t.inverseWeights[node] >= limit {
 		return 0, false
 	}
-	score := float64(negativeLog2(hash)) * t.inverse[node]
+	score := float64(negativeLog2(hash)) * t.inverseWeights[node]
 	return score, score < limit
 }
 
 // zoneScore returns the score of a zone; the lowest ranks first.
 func (t *topology) zoneScore(zone zoneIndex, destination DestinationID) float64 {
-	return float64(negativeLog2(mix(t.zones[zone].seed, destination))) / t.zones[zone].weight
+	return float64(negativeLog2(hashCandidate(t.zones[zone].seed, destination))) / t.zones[zone].weight
 }
 
 // rankedZone is a zone with its score.
@@ -91,7 +93,7 @@
 	score float64
 }
 
-// rankZones appends the zones of the scope to ranked, best first.
+// rankZones appends the zones of the scope to ranked, which must be empty, best ranked first.
 func (t *topology) rankZones(ranked []rankedZone, scope scope, destination DestinationID) []rankedZone {
 	for _, zone := range scope.zones {
 		entry := rankedZone{zone, t.zoneScore(zone, destination)}
--- a/decide/placement/restore_test.go
+++ b/decide/placement/restore_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func TestRestoredTableMovesNothing(t *testing.T) {
+func TestComputeFromRestoredTableMovesNothing(t *testing.T) {
 	var input Input
 	for i := range 30 {
 		input.Nodes = append(input.Nodes, Node{
@@ -17,10 +17,10 @@
 			ID: DestinationID(7 * i), Rate: float64(1 + i%50), Owners: 1 + i%3,
 		})
 	}
-	// A table with a history: it depends on more than its input.
-	without := input
-	without.Nodes = input.Nodes[5:]
-	table, err := Compute(nil, without)
+	// Five nodes join after the first table, so that the table depends on its history and not only on its input.
+	reduced := input
+	reduced.Nodes = input.Nodes[5:]
+	table, err := Compute(nil, reduced)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -31,7 +31,7 @@
 	for _, destination := range table.Destinations() {
 		owners[destination] = table.Owners(destination)
 	}
-	same, err := Compute(table, input)
+	want, err := Compute(table, input)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -39,15 +39,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if changed := restored.Changed(same); len(changed) > 0 {
-		t.Fatalf("%d destinations moved", len(changed))
+	if changed := restored.Changed(want); len(changed) > 0 {
+		t.Fatalf("got %d destinations with changed owners, want none", len(changed))
 	}
 }
 
-func TestRestoreLeavesOutWhatIsNotThere(t *testing.T) {
+func TestRestoreOmitsUnknownAndRepeatedOwners(t *testing.T) {
 	nodes := []Node{{ID: "b", Region: "r", Zone: "z", Weight: 1}, {ID: "a", Region: "r", Zone: "y", Weight: 1}}
 	table := Restore(nodes, map[DestinationID][]NodeID{3: {"gone"}, 1: {"b", "gone", "b", "a"}})
 	if owners := fmt.Sprint(table.Owners(1), table.Owners(3), table.Destinations()); owners != "[b a] [] [1 3]" {
-		t.Fatal(owners)
+		t.Fatalf("got owners and destinations %s, want [b a] [] [1 3]", owners)
 	}
 }
--- a/decide/placement/table.go
+++ b/decide/placement/table.go
@@ -6,7 +6,7 @@
 	"sort"
 )
 
-// noNode marks an owner slot without a node.
+// noNode marks an empty owner slot.
 const noNode = nodeIndex(1<<16 - 1)
 
 // nodeIndex is the index of a node in Table.nodes.
@@ -14,27 +14,27 @@
 
 // Table is an assignment: the owner nodes of each destination. It is immutable and safe for concurrent readers.
 //
-// The owners of the destination at index i are owners[start[i]:start[i+1]], noNode where a slot is unfilled;
-// a placement of 170,000 destinations with three owners takes about 24 bytes a destination.
+// The owners of the destination at index i are owners[ownerOffsets[i]:ownerOffsets[i+1]], with noNode in empty slots.
+// A placement of 170,000 destinations with three owners takes about 24 bytes a destination.
 type Table struct {
 	nodes     []Node
 	loadBound float64
 	ids       []DestinationID
 	rates     []load
-	// regions are indices into names.
-	regions []uint16
-	names   []string
-	start   []uint32
-	owners  []nodeIndex
-	// larges are the destinations of which one owner's part is a large part of the mean fair load of a node, and
-	// hots those of which it is over that mean.
-	larges, hots []DestinationID
-	// loads, fairs and limits are by node.
-	loads, fairs, limits []load
-}
-
-// UnplacedError is a destination that has no owner because no eligible node exists. [Table.Unplaced] lists such
-// destinations; no function returns one as its error.
+	// regions contains indexes of regionNames.
+	regions      []uint16
+	regionNames  []string
+	ownerOffsets []uint32
+	owners       []nodeIndex
+	// largeIDs contains the destinations whose slot load exceeds largeFraction of the mean fair load of a node, and
+	// hotIDs those whose slot load exceeds that mean.
+	largeIDs, hotIDs []DestinationID
+	// loads, fairLoads and limits are indexed by node.
+	loads, fairLoads, limits []load
+}
+
+// UnplacedError describes a destination that has no owner because there is no eligible node. [Table.Unplaced] lists
+// such destinations; no function returns one as its error.
 type UnplacedError struct {
 	Destination DestinationID
 	Region      string
@@ -43,9 +43,9 @@
 // Error implements error.
 func (e *UnplacedError) Error() string {
 	if e.Region == "" {
-		return fmt.Sprintf("destination %d: no node is eligible", e.Destination)
+		return fmt.Sprintf("destination %d: no eligible node", e.Destination)
 	}
-	return fmt.Sprintf("destination %d: no node of region %q is eligible", e.Destination, e.Region)
+	return fmt.Sprintf("destination %d: no eligible node in region %q", e.Destination, e.Region)
 }
 
 // Nodes returns the nodes of the table, ordered by ID.
@@ -64,7 +64,7 @@
 	return slices.Clone(t.ids)
 }
 
-// Owners returns the owners of the destination; none for one that is unknown or unplaced.
+// Owners returns the owners of the destination, or nil if the destination is unknown or unplaced.
 func (t *Table) Owners(destination DestinationID) []NodeID {
 	index, found := t.index(destination)
 	if !found {
@@ -94,7 +94,7 @@
 	return owned
 }
 
-// Load returns the sum of the node's parts in messages a second; zero for an unknown node.
+// Load returns the sum of the slot loads of the node in messages a second, or 0 for an unknown node.
 func (t *Table) Load(id NodeID) float64 {
 	node, found := t.node(id)
 	if !found {
@@ -103,26 +103,27 @@
 	return t.loads[node].rate()
 }
 
-// FairLoad returns the load that the node would have if all loads could be divided at will within the rules; for
-// equal nodes and zones it is the mean. A hot part that the node owns is included.
+// FairLoad returns the load that the node would have if all loads could be divided arbitrarily within the rules. For
+// equal nodes and zones it is the mean. The slot loads of large destinations that the node owns are included.
 func (t *Table) FairLoad(id NodeID) float64 {
 	node, found := t.node(id)
 	if !found {
 		return 0
 	}
-	return t.fairs[node].rate()
+	return t.fairLoads[node].rate()
 }
 
-// Hot returns the destinations of which one owner's part is larger than the mean fair load of a node, in ascending
-// order. Their owners get next to nothing else. More owners for such a destination would divide it further.
+// Hot returns the destinations whose slot load exceeds the mean fair load of a node, in ascending order. Their owners
+// receive almost no other load. Requesting more owners for such a destination would divide its load further.
 func (t *Table) Hot() []DestinationID {
 	if t == nil {
 		return nil
 	}
-	return slices.Clone(t.hots)
+	return slices.Clone(t.hotIDs)
 }
 
-// Unplaced returns an entry for each destination that has no owner, in ascending order. It allocates each of them.
+// Unplaced returns an entry for each destination without an owner, in ascending order. It allocates a new entry for
+// each on every call.
 func (t *Table) Unplaced() []*UnplacedError {
 	if t == nil {
 		return nil
@@ -130,14 +131,14 @@
 	var unplaced []*UnplacedError
 	for index, destination := range t.ids {
 		if t.ownersAt(index)[0] == noNode {
-			unplaced = append(unplaced, &UnplacedError{destination, t.names[t.regions[index]]})
+			unplaced = append(unplaced, &UnplacedError{destination, t.regionNames[t.regions[index]]})
 		}
 	}
 	return unplaced
 }
 
-// Changed returns the destinations whose owners differ from the previous table's, in ascending order. Those
-// that only one of the tables has are among them, unless they have no owner there.
+// Changed returns the destinations whose owners differ from those in the previous table, in ascending order. A
+// destination that only one of the tables contains is included if it has an owner there.
 func (t *Table) Changed(previous *Table) []DestinationID {
 	if t == nil {
 		t = &Table{}
@@ -154,12 +155,12 @@
 	for index < len(t.ids) || old < len(previous.ids) {
 		switch {
 		case old == len(previous.ids) || index < len(t.ids) && t.ids[index] < previous.ids[old]:
-			if filled(t.ownersAt(index)) > 0 {
+			if countFilled(t.ownersAt(index)) > 0 {
 				changed = append(changed, t.ids[index])
 			}
 			index++
 		case index == len(t.ids) || previous.ids[old] < t.ids[index]:
-			if filled(previous.ownersAt(old)) > 0 {
+			if countFilled(previous.ownersAt(old)) > 0 {
 				changed = append(changed, previous.ids[old])
 			}
 			old++
@@ -173,8 +174,8 @@
 	return changed
 }
 
-// filled counts the slots that have a node.
-func filled(owners []nodeIndex) int {
+// countFilled counts the slots that have a node.
+func countFilled(owners []nodeIndex) int {
 	count := 0
 	for _, owner := range owners {
 		if owner != noNode {
@@ -184,9 +185,10 @@
 	return count
 }
 
-// sameOwners compares an owner set with one of a previous table; the order does not count.
+// sameOwners reports whether an owner set is equal to one of a previous table, regardless of order. renumbered maps
+// the node indexes of the previous table to the current ones.
 func sameOwners(owners, old, renumbered []nodeIndex) bool {
-	if filled(owners) != filled(old) {
+	if countFilled(owners) != countFilled(old) {
 		return false
 	}
 	for _, owner := range old {
@@ -197,7 +199,7 @@
 	return true
 }
 
-// index returns where the destination is in ids, and whether it is there.
+// index returns the index of the destination in ids, and whether the table contains it.
 func (t *Table) index(destination DestinationID) (int, bool) {
 	if t == nil {
 		return 0, false
@@ -205,7 +207,7 @@
 	return slices.BinarySearch(t.ids, destination)
 }
 
-// node returns the index of the node.
+// node returns the index of the node, and whether the table contains it.
 func (t *Table) node(id NodeID) (nodeIndex, bool) {
 	if t == nil {
 		return noNode, false
@@ -219,5 +221,5 @@
 
 // ownersAt returns the owner slots of the destination at the index.
 func (t *Table) ownersAt(index int) []nodeIndex {
-	return t.owners[t.start[index]:t.start[index+1]]
+	return t.owners[t.ownerOffsets[index]:t.ownerOffsets[index+1]]
 }
--- a/decide/placement/topology.go
+++ b/decide/placement/topology.go
@@ -10,10 +10,10 @@
 // zoneIndex is the index of a zone in topology.zones.
 type zoneIndex uint16
 
-// noZone is the zone of a node that may own nothing.
+// noZone marks a node that may not own destinations.
 const noZone = zoneIndex(1<<16 - 1)
 
-// zone is a zone with its eligible nodes. Zones of the same name in two regions are different zones.
+// zone is a zone with its eligible nodes. Zones with the same name in two regions are distinct.
 type zone struct {
 	region, name string
 	weight       float64
@@ -21,33 +21,33 @@
 	nodes        []nodeIndex
 }
 
-// scope is the part of the topology that a destination may use: all of it or one region.
+// scope is the part of the topology that a destination may use: all regions or one.
 type scope struct {
 	zones []zoneIndex
 	nodes int
 }
 
-// topology is the list of nodes in the form that placing needs. Draining nodes are in no zone.
+// topology indexes the nodes by zone for placement. Draining nodes are in no zone.
 type topology struct {
-	nodes   []Node
-	zones   []zone
-	zoneOf  []zoneIndex
-	seeds   []uint64
-	inverse []float64
+	nodes          []Node
+	zones          []zone
+	zoneOf         []zoneIndex
+	seeds          []uint64
+	inverseWeights []float64
 }
 
-// newTopology indexes nodes that are in order of their IDs.
+// newTopology indexes nodes that are sorted by ID.
 func newTopology(nodes []Node) *topology {
 	t := &topology{
-		nodes:   nodes,
-		zoneOf:  make([]zoneIndex, len(nodes)),
-		seeds:   make([]uint64, len(nodes)),
-		inverse: make([]float64, len(nodes)),
+		nodes:          nodes,
+		zoneOf:         make([]zoneIndex, len(nodes)),
+		seeds:          make([]uint64, len(nodes)),
+		inverseWeights: make([]float64, len(nodes)),
 	}
-	t.zones = zonesOf(nodes)
+	t.zones = eligibleZones(nodes)
 	for i, node := range nodes {
 		t.seeds[i] = xxhash.Sum64String(string(node.ID))
-		t.inverse[i] = 1 / node.Weight
+		t.inverseWeights[i] = 1 / node.Weight
 		t.zoneOf[i] = noZone
 		if node.Draining {
 			continue
@@ -60,8 +60,9 @@
 	return t
 }
 
-// zonesOf returns the zones with eligible nodes in order, without their nodes yet.
-func zonesOf(nodes []Node) []zone {
+// eligibleZones returns the zones that have eligible nodes, sorted by region and name. Their nodes are not filled in
+// yet.
+func eligibleZones(nodes []Node) []zone {
 	var zones []zone
 	for _, node := range nodes {
 		if node.Draining {
@@ -80,7 +81,7 @@
 	return cmp.Or(cmp.Compare(zone.region, node.Region), cmp.Compare(zone.name, node.Zone))
 }
 
-// scope returns what a destination with this region may use; "" is every region.
+// scope returns the scope of a destination restricted to the region; "" selects all regions.
 func (t *topology) scope(region string) scope {
 	var s scope
 	for i := range t.zones {
@@ -93,7 +94,7 @@
 	return s
 }
 
-// regionNumbers numbers regions in the order in which they are seen.
+// regionNumbers numbers regions in order of first use, and caches the last one.
 type regionNumbers struct {
 	numbers    map[string]uint16
 	last       string
@@ -104,7 +105,7 @@
 	return &regionNumbers{numbers: map[string]uint16{"": 0}}
 }
 
-// number returns the number of the region; that of "", any region, is 0.
+// number returns the number of the region. The number of "" (any region) is 0.
 func (r *regionNumbers) number(region string) uint16 {
 	if region == r.last {
 		return r.lastNumber
