--- a/decide/admission/admission.go
+++ b/decide/admission/admission.go
@@ -1,23 +1,23 @@
-// Package admission decides whether a node accepts a message, before anything is persisted: a message that
-// would be rejected later is rejected at once, with the time after which it can be accepted.
+// Package admission decides whether a node accepts a message, before anything is persisted. A message that would fail
+// later is rejected immediately, with a delay after which it can be accepted.
 //
 // # Rules
 //
-// Three rules decide on each message, in this order. Each is one function of rules.go:
+// Three rules are applied to each message, in this order. Each is a function in rules.go:
 //
-//   - checkSaturation: the engine, which all destinations share, must reach the message in time;
+//   - checkSaturation: the engine, which all destinations share, must process the message in time;
 //   - checkCapacity: a destination may use a bounded multiple of the free capacity (dynamic thresholds: Choudhury
-//     and Hahne, 1998), so that one that is flooded leaves capacity for the others;
-//   - checkDeadline: the destination must reach the message in time, by Little's law: the messages ahead of it over
-//     the rate at which the destination accepts calls.
+//     and Hahne, 1998), so that an overloaded destination leaves capacity for the others;
+//   - checkDeadline: the destination must accept the message in time. By Little's law the wait is the number of messages
+//     ahead of it divided by the rate at which the destination accepts calls.
 //
-// A rate is measured while messages wait for it. Until one is known no message is rejected for it.
+// A rate is measured only while messages wait. Until it is known, it causes no rejection.
 //
 // # Concurrency
 //
-// The package does no I/O, starts no goroutine and reads no clock: the caller passes the time, and the same calls
-// give the same decisions. A [Controller] is not safe for concurrent use. It keeps a few numbers for each destination
-// with messages in flight, or with some within [Retention], and nothing for each message.
+// The package does no I/O, starts no goroutine and reads no clock: the caller passes the time, and the same sequence of
+// calls gives the same decisions. A [Controller] is not safe for concurrent use. It stores a few numbers for each
+// destination that has messages in flight or was used within [Retention], and nothing for each message.
 //
 // Start reading at [Controller.Admit].
 package admission
@@ -28,33 +28,33 @@
 	"wingmount/policy"
 )
 
-// Time is a reading of the caller's clock, counted from any fixed origin.
+// Time is a reading of the clock of the caller, measured from an arbitrary fixed origin.
 type Time = time.Duration
 
-// Retention is how long a rate counts without a new sample, and how long a destination without messages is kept.
+// Retention is how long a rate is valid without a new sample, and how long a destination without messages is kept.
 const Retention = 30 * time.Second
 
-// callDurationGain is the weight of a new call in the mean duration of calls.
+// callDurationGain is the weight of a new call in the moving average of call durations.
 const callDurationGain = 0.1
 
-// Settings are the settings of a controller.
+// Settings configures a [Controller].
 type Settings struct {
-	// Weights are the priority weights of the classes, by class. One that is not positive counts as the lowest
-	// positive one, or as 1 where there is none.
+	// Weights contains the priority weight of each class. A weight that is not positive counts as the lowest positive
+	// weight, or as 1 if there is none.
 	Weights []float64
-	// Capacity is the number of messages that may be in flight; 0 for no limit.
+	// Capacity is the maximum number of messages in flight; 0 means no limit.
 	Capacity int
 }
 
-// Reason is why a message is admitted or rejected.
+// Reason states why a message is admitted or rejected.
 type Reason int
 
 // The reasons.
 const (
 	Admitted   Reason = iota
-	NoCapacity        // its destination uses its part of the capacity
-	TooLate           // its destination would not reach it in time
-	Saturated         // the engine would not reach it in time
+	NoCapacity        // the destination uses its share of the capacity
+	TooLate           // the destination would not accept the message in time
+	Saturated         // the engine would not process the message in time
 )
 
 // String returns the reason in lower case.
@@ -62,11 +62,12 @@
 	return [...]string{"admitted", "no capacity", "too late", "saturated"}[r]
 }
 
-// Decision is the decision on one message.
+// Decision is the result of [Controller.Admit].
 type Decision struct {
 	Reason Reason
-	// RetryAfter is the delay after which the message can be admitted if nothing else arrives; 0 for an admitted one.
-	// Clients that are rejected together get delays one after another, at the pace at which messages complete.
+	// RetryAfter is the delay after which the message can be admitted if nothing else arrives; 0 for an admitted
+	// message. Clients that are rejected together receive increasing delays, spaced at the rate at which messages
+	// complete.
 	RetryAfter time.Duration
 }
 
@@ -75,34 +76,34 @@
 
 // The kinds of observations.
 const (
-	CallStarted      ObservationKind = iota // a message was sent with a call
-	CallCompleted                           // a call ended for a message: Outcome, RetryAfter and Duration are set
-	MessageCompleted                        // a message has its final response: Class and MessageID are set
+	CallStarted      ObservationKind = iota // a call with the message was started
+	CallCompleted                           // a call with the message ended: Outcome, RetryAfter and Duration are set
+	MessageCompleted                        // the message has its final response: Class and MessageID are set
 )
 
-// Observation is something that the node observed of one message.
+// Observation is an event of one message that the node reports to the controller.
 type Observation struct {
 	Kind        ObservationKind
 	Destination int
 	Class       int
 	MessageID   string // for the caller; the controller ignores it
 	Outcome     policy.Outcome
-	RetryAfter  time.Duration // that the destination asked for; 0 for none
+	RetryAfter  time.Duration // requested by the destination; 0 for none
 	Duration    time.Duration // of the call
 }
 
-// Controller decides for one node.
+// Controller decides on the messages of one node.
 type Controller struct {
 	capacity        int
 	weights         []float64 // by class
 	capacityFactors []float64 // of the free capacity, by class
-	inFlight        int
+	inFlight        int       // messages, of all destinations
 	destinations    map[int]*destination
-	sweptAt         Time
+	lastEvictionAt  Time
 	engine          engineState
 }
 
-// New returns a controller for a node without messages in flight.
+// New returns a controller for a node that has no messages in flight.
 func New(s Settings) *Controller {
 	c := &Controller{capacity: s.Capacity, destinations: map[int]*destination{}}
 	lowest, highest := math.Inf(1), 0.0
@@ -127,25 +128,25 @@
 // InFlight returns the number of messages in flight.
 func (c *Controller) InFlight() int { return c.inFlight }
 
-// Destinations returns the number of destinations that the controller keeps.
+// Destinations returns the number of destinations that the controller stores.
 func (c *Controller) Destinations() int { return len(c.destinations) }
 
-// destination returns the state of a destination, which it creates where there is none.
-func (c *Controller) destination(now Time, number int) *destination {
+// destinationState returns the state of a destination, and creates it if necessary.
+func (c *Controller) destinationState(now Time, number int) *destination {
 	d := c.destinations[number]
 	if d == nil {
 		d = newDestination(now, len(c.weights))
 		c.destinations[number] = d
 	}
-	d.usedAt = now
+	d.lastUsedAt = now
 	return d
 }
 
-// Admit decides on a message of a class for a destination, which has timeLeft until its deadline. An admitted one is
-// in flight from then on, until [Controller.Release] or a [MessageCompleted].
+// Admit decides on a message whose deadline is timeLeft from now. An admitted message counts as in flight until
+// [Controller.Release] is called or a [MessageCompleted] is observed.
 func (c *Controller) Admit(now Time, destination, class int, timeLeft time.Duration) Decision {
 	c.evictIdleDestinations(now)
-	d := c.destination(now, destination)
+	d := c.destinationState(now, destination)
 	if decision := c.checkSaturation(now, timeLeft); decision.Reason != Admitted {
 		return decision
 	}
@@ -155,44 +156,45 @@
 	if decision := c.checkDeadline(now, d, class, timeLeft); decision.Reason != Admitted {
 		return decision
 	}
-	c.add(now, d, class)
+	c.addInFlight(now, d, class)
 	return Decision{}
 }
 
-// Adopt counts a message that is in flight without a decision: one of an earlier process, or of another node.
+// Adopt counts a message as in flight without a decision. It is called for messages that an earlier process or
+// another node accepted.
 func (c *Controller) Adopt(now Time, destination, class int) {
-	c.add(now, c.destination(now, destination), class)
+	c.addInFlight(now, c.destinationState(now, destination), class)
 }
 
-// Release takes back an admitted message that was not accepted in the end.
+// Release stops counting an admitted message that the node did not accept after all.
 func (c *Controller) Release(now Time, destination, class int) {
-	c.remove(c.destination(now, destination), class)
+	c.removeInFlight(c.destinationState(now, destination), class)
 }
 
-func (c *Controller) add(now Time, d *destination, class int) {
+func (c *Controller) addInFlight(now Time, d *destination, class int) {
 	c.inFlight++
 	d.inFlight++
 	if d.failing {
-		c.engine.blocked++
+		c.engine.inFlightToFailing++
 	}
 	d.byClass[class]++
 	d.admitted[class].add(now)
 	d.updateSampling(now)
 }
 
-// remove is called for messages in flight only.
-func (c *Controller) remove(d *destination, class int) {
+// removeInFlight must be called only for messages that are in flight.
+func (c *Controller) removeInFlight(d *destination, class int) {
 	c.inFlight--
 	d.inFlight--
 	if d.failing {
-		c.engine.blocked--
+		c.engine.inFlightToFailing--
 	}
 	d.byClass[class]--
 }
 
-// Observe updates the controller with what the node observed.
+// Observe updates the controller with an observation of the node.
 func (c *Controller) Observe(now Time, o Observation) {
-	d := c.destination(now, o.Destination)
+	d := c.destinationState(now, o.Destination)
 	switch o.Kind {
 	case CallStarted:
 		d.outstanding++
@@ -203,7 +205,7 @@
 			d.closedUntil = max(d.closedUntil, now+o.RetryAfter)
 		}
 	case MessageCompleted:
-		c.remove(d, o.Class)
+		c.removeInFlight(d, o.Class)
 	}
 	d.updateSampling(now)
 }
@@ -212,13 +214,13 @@
 	switch o.Outcome {
 	case policy.Delivered:
 		if d.outage(now) {
-			d.rate.restartSample(now) // the time of an outage is not part of a rate
+			d.rate.restartSample(now) // a rate does not include the duration of an outage
 		}
 		c.setFailing(d, false)
 		c.engine.observeDelivery(now)
 		d.observeCallDuration(o.Duration)
 		d.rate.observeDelivery(now, d.knownRate(now) > 0)
-	case policy.NotSent, policy.Cancelled: // say nothing about the destination
+	case policy.NotSent, policy.Cancelled: // give no information about the destination
 	default:
 		if !d.failing {
 			c.setFailing(d, true)
@@ -227,29 +229,29 @@
 	}
 }
 
-// setFailing sets whether the last call to a destination failed. While it did, the destination's messages do not wait
-// for the engine.
+// setFailing records whether the last call to a destination failed. The messages of a failing destination wait for
+// the destination, not for the engine.
 func (c *Controller) setFailing(d *destination, failing bool) {
 	if d.failing == failing {
 		return
 	}
 	d.failing = failing
 	if failing {
-		c.engine.blocked += d.inFlight
+		c.engine.inFlightToFailing += d.inFlight
 	} else {
-		c.engine.blocked -= d.inFlight
+		c.engine.inFlightToFailing -= d.inFlight
 	}
 }
 
-// evictIdleDestinations removes destinations without messages that were not used within Retention. It looks for them
-// once in that time.
+// evictIdleDestinations removes destinations that have no messages and were not used within Retention. It scans the
+// destinations at most once in each Retention.
 func (c *Controller) evictIdleDestinations(now Time) {
-	if now-c.sweptAt < Retention {
+	if now-c.lastEvictionAt < Retention {
 		return
 	}
-	c.sweptAt = now
+	c.lastEvictionAt = now
 	for number, d := range c.destinations {
-		if d.inFlight == 0 && now-d.usedAt >= Retention {
+		if d.inFlight == 0 && now-d.lastUsedAt >= Retention {
 			delete(c.destinations, number)
 		}
 	}
--- a/decide/admission/admission_test.go
+++ b/decide/admission/admission_test.go
@@ -11,40 +11,40 @@
 	"pgregory.net/rapid"
 )
 
-// simulation is a node and its destinations on virtual time: each destination accepts calls at a rate, in the order of
-// priority weight and then of arrival, and a message past its deadline is rejected. It uses the controller as a node
-// does.
+// simulation is a node with its destinations on virtual time. Each destination accepts calls at a fixed rate, in
+// descending order of priority weight and then in order of arrival. Messages past their deadline expire. The
+// simulation uses the controller as a node does.
 type simulation struct {
 	c        *Controller
 	now      Time
 	rate     map[int]float64 // calls a second
 	nextCall map[int]Time    // when the destination accepts the next call
 	down     map[int]bool    // calls fail
-	queue    map[int][]item
+	queue    map[int][]queuedMessage
 	weights  []float64
 
 	offered, admitted, rejected, delivered, expired map[int]int
 	deliveredByClass                                map[int]int
 }
 
-type item struct {
+type queuedMessage struct {
 	class    int
 	deadline Time
 }
 
-const step = 5 * time.Millisecond
+const simulationStep = 5 * time.Millisecond
 
 func newSimulation(capacity int, weights ...float64) *simulation {
 	s := &simulation{
 		c: New(Settings{Weights: weights, Capacity: capacity}), now: time.Hour, weights: weights, rate: map[int]float64{}, nextCall: map[int]Time{},
-		down: map[int]bool{}, queue: map[int][]item{}, offered: map[int]int{}, admitted: map[int]int{}, rejected: map[int]int{},
+		down: map[int]bool{}, queue: map[int][]queuedMessage{}, offered: map[int]int{}, admitted: map[int]int{}, rejected: map[int]int{},
 		delivered: map[int]int{}, expired: map[int]int{}, deliveredByClass: map[int]int{},
 	}
 	return s
 }
 
-// offer submits n messages, and returns the decision on the last one.
-func (s *simulation) offer(dest, class, n int, left time.Duration) (d Decision) {
+// submit submits n messages and returns the decision on the last one.
+func (s *simulation) submit(dest, class, n int, left time.Duration) (d Decision) {
 	for range n {
 		s.offered[dest]++
 		if d = s.c.Admit(s.now, dest, class, left); d.Reason != Admitted {
@@ -53,22 +53,22 @@
 		}
 		s.admitted[dest]++
 		q := s.queue[dest]
-		at := len(q) // behind all of its weight
+		at := len(q) // after all messages of at least its weight
 		for at > 0 && s.weights[q[at-1].class] < s.weights[class] {
 			at--
 		}
-		q = append(q, item{})
+		q = append(q, queuedMessage{})
 		copy(q[at+1:], q[at:])
-		q[at] = item{class, s.now + left}
+		q[at] = queuedMessage{class, s.now + left}
 		s.queue[dest] = q
 	}
 	return d
 }
 
-// advance lets time pass.
+// advance advances the virtual time and delivers or expires queued messages.
 func (s *simulation) advance(duration time.Duration) {
 	for end := s.now + duration; s.now < end; {
-		s.now += step
+		s.now += simulationStep
 		for dest, q := range s.queue {
 			remaining := q[:0]
 			for _, m := range q {
@@ -80,7 +80,7 @@
 				remaining = append(remaining, m)
 			}
 			s.queue[dest] = remaining
-			s.nextCall[dest] = max(s.nextCall[dest], s.now-step)
+			s.nextCall[dest] = max(s.nextCall[dest], s.now-simulationStep)
 			for len(s.queue[dest]) > 0 && s.nextCall[dest] <= s.now {
 				m := s.queue[dest][0]
 				s.nextCall[dest] += time.Duration(float64(time.Second) / s.rate[dest])
@@ -99,20 +99,21 @@
 	}
 }
 
-// flood offers messages of class 0 at a rate for a duration.
-func (s *simulation) flood(dest int, rate float64, duration, left time.Duration) {
-	due := 0.0
-	for range int(duration / step) {
-		due += rate * step.Seconds()
-		n := int(due)
-		due -= float64(n)
-		s.offer(dest, 0, n, left)
-		s.advance(step)
+// submitAtRate submits messages of class 0 at a rate, in messages a second, for a duration.
+func (s *simulation) submitAtRate(dest int, rate float64, duration, left time.Duration) {
+	pending := 0.0
+	for range int(duration / simulationStep) {
+		pending += rate * simulationStep.Seconds()
+		n := int(pending)
+		pending -= float64(n)
+		s.submit(dest, 0, n, left)
+		s.advance(simulationStep)
 	}
 }
 
-// In a steady overload what is admitted is delivered, and the destination is never idle.
-func TestOverload(t *testing.T) {
+// In a steady overload admitted messages must be delivered before their deadline, and the destination must stay fully
+// used.
+func TestOverloadDeliversAdmittedMessages(t *testing.T) {
 	for _, rate := range []float64{5, 50, 1000} {
 		for _, overload := range []float64{1, 3, 10} {
 			for _, left := range []time.Duration{4 * time.Second, 28 * time.Second} {
@@ -120,21 +121,21 @@
 					s := newSimulation(17000, 1)
 					s.rate[1] = rate
 					const duration = 30 * time.Second
-					s.flood(1, rate*overload, 5*time.Second, left) // until the rate is known
+					s.submitAtRate(1, rate*overload, 5*time.Second, left) // until the rate is known
 					s.advance(left)
-					first := s.expired[1]
+					expiredEarly := s.expired[1]
 					s.admitted[1], s.expired[1], s.delivered[1] = 0, 0, 0
-					s.flood(1, rate*overload, duration, left)
-					good := float64(s.delivered[1]) / duration.Seconds()
+					s.submitAtRate(1, rate*overload, duration, left)
+					goodput := float64(s.delivered[1]) / duration.Seconds()
 					s.advance(left)
-					if share := float64(s.expired[1]) / float64(s.admitted[1]); share > 0.01 {
-						t.Errorf("got %d of %d admitted messages expired, want 1%% at most", s.expired[1], s.admitted[1])
+					if expiredFraction := float64(s.expired[1]) / float64(s.admitted[1]); expiredFraction > 0.01 {
+						t.Errorf("expired messages: got %d of %d admitted, want 1%% at most", s.expired[1], s.admitted[1])
 					}
-					if limit := int(rate * overload * 0.7); first > limit {
-						t.Errorf("got %d expired before the rate was known, want %d at most", first, limit)
+					if limit := int(rate * overload * 0.7); expiredEarly > limit {
+						t.Errorf("messages expired before the rate was known: got %d, want %d at most", expiredEarly, limit)
 					}
-					if good < 0.95*rate {
-						t.Errorf("got %.1f delivered a second, want %.1f", good, rate)
+					if goodput < 0.95*rate {
+						t.Errorf("delivered messages a second: got %.1f, want %.1f", goodput, rate)
 					}
 				})
 			}
@@ -142,143 +143,145 @@
 	}
 }
 
-// A burst of ten times the rate that is followed by calm is admitted completely.
-func TestBurstIsAdmitted(t *testing.T) {
+// A short burst at ten times the rate, followed by a load below the rate, must be admitted and delivered completely.
+func TestShortBurstIsAdmitted(t *testing.T) {
 	s := newSimulation(17000, 1)
 	s.rate[1] = 1000
-	s.flood(1, 500, 20*time.Second, 28*time.Second)
-	s.flood(1, 10000, 300*time.Millisecond, 28*time.Second)
-	s.flood(1, 500, 10*time.Second, 28*time.Second)
+	s.submitAtRate(1, 500, 20*time.Second, 28*time.Second)
+	s.submitAtRate(1, 10000, 300*time.Millisecond, 28*time.Second)
+	s.submitAtRate(1, 500, 10*time.Second, 28*time.Second)
 	s.advance(10 * time.Second)
 	if s.rejected[1] > 0 || s.expired[1] > 0 || s.delivered[1] != s.offered[1] {
-		t.Errorf("of %d offered: got %d rejected and %d expired, want none", s.offered[1], s.rejected[1], s.expired[1])
+		t.Errorf("got %d messages offered, %d rejected and %d expired, want none rejected or expired", s.offered[1], s.rejected[1], s.expired[1])
 	}
 }
 
-// A flood to some destinations starves no other: with n of them flooded one always finds
-// Capacity/(1+n*CapacityFactor) places, and what it offers below its rate is admitted.
-func TestFloodStarvesNoOther(t *testing.T) {
-	for _, floods := range []int{1, 3, 20} {
+// If n destinations are overloaded, Capacity/(1+n*CapacityFactor) places must stay free, and the messages to another
+// destination below its rate must all be admitted.
+func TestOverloadedDestinationsLeaveCapacityForOthers(t *testing.T) {
+	for _, overloaded := range []int{1, 3, 20} {
 		const capacity = 1700
 		s := newSimulation(capacity, 1)
 		s.rate[0] = 100
-		for d := 1; d <= floods; d++ {
-			s.rate[d] = 0.001 // accepts next to nothing, and is not known to fail
+		for d := 1; d <= overloaded; d++ {
+			s.rate[d] = 0.001 // accepts almost no calls, and has not failed
 		}
-		for range int(10 * time.Second / step) {
-			for d := 1; d <= floods; d++ {
-				s.offer(d, 0, 5, 28*time.Second)
+		for range int(10 * time.Second / simulationStep) {
+			for d := 1; d <= overloaded; d++ {
+				s.submit(d, 0, 5, 28*time.Second)
 			}
-			s.advance(step)
+			s.advance(simulationStep)
 		}
 		free := capacity - s.c.InFlight()
-		if want := capacity / (1 + floods*CapacityFactor); free < want-floods {
-			t.Errorf("%d floods: got %d free places, want %d", floods, free, want)
+		if want := capacity / (1 + overloaded*CapacityFactor); free < want-overloaded {
+			t.Errorf("%d overloaded destinations: got %d free places, want %d", overloaded, free, want)
 		}
-		s.flood(0, 50, 5*time.Second, 28*time.Second)
+		s.submitAtRate(0, 50, 5*time.Second, 28*time.Second)
 		s.advance(5 * time.Second)
 		if s.rejected[0] > 0 || s.delivered[0] != s.offered[0] {
-			t.Errorf("%d floods: of %d offered to another destination got %d rejected, %d delivered, want all delivered", floods, s.offered[0], s.rejected[0], s.delivered[0])
+			t.Errorf("%d overloaded destinations: of %d messages offered to another one got %d rejected and %d delivered, want all delivered", overloaded, s.offered[0], s.rejected[0], s.delivered[0])
 		}
 	}
 }
 
-// Under overload the class of higher weight is admitted and delivered, the other gets the rest.
-func TestHigherPriorityFirst(t *testing.T) {
+// Under overload the messages of the class of higher weight must be admitted and delivered; the other class uses the
+// remaining rate.
+func TestOverloadFavorsClassOfHigherWeight(t *testing.T) {
 	s := newSimulation(17000, 1, 10)
 	s.rate[1] = 100
-	for range int(60 * time.Second / step) {
-		s.offer(1, 0, 1, 10*time.Second) // 200 a second
-		if s.now/step%4 == 0 {
-			s.offer(1, 1, 1, 10*time.Second) // 50 a second
+	for range int(60 * time.Second / simulationStep) {
+		s.submit(1, 0, 1, 10*time.Second) // 200 a second
+		if s.now/simulationStep%4 == 0 {
+			s.submit(1, 1, 1, 10*time.Second) // 50 a second
 		}
-		s.advance(step)
+		s.advance(simulationStep)
 	}
 	s.advance(10 * time.Second)
 	if s.deliveredByClass[1] < 2990 {
-		t.Errorf("got %d of 3000 of the higher class delivered, want 2990", s.deliveredByClass[1])
+		t.Errorf("class of higher weight: got %d of 3000 messages delivered, want 2990", s.deliveredByClass[1])
 	}
 	if total := s.deliveredByClass[0] + s.deliveredByClass[1]; total < 5700 || float64(s.expired[1]) > 0.01*float64(s.admitted[1]) {
-		t.Errorf("got %d delivered of 6000 that could be, %d of %d admitted ones expired", total, s.expired[1], s.admitted[1])
+		t.Errorf("got %d messages delivered, want 5700 of 6000; got %d of %d admitted ones expired, want 1%% at most", total, s.expired[1], s.admitted[1])
 	}
 }
 
-// In an outage less and less is admitted for a destination, and as before once it has recovered.
-func TestOutage(t *testing.T) {
+// The longer an outage lasts, the fewer messages of a destination may be admitted. After its recovery admission must
+// be unrestricted again.
+func TestOutageLimitsAdmissionUntilRecovery(t *testing.T) {
 	s := newSimulation(17000, 1)
 	s.rate[1] = 100
-	s.flood(1, 50, 5*time.Second, 28*time.Second)
+	s.submitAtRate(1, 50, 5*time.Second, 28*time.Second)
 	s.down[1] = true
-	s.flood(1, 50, 5*time.Second, 28*time.Second)
+	s.submitAtRate(1, 50, 5*time.Second, 28*time.Second)
 	if s.rejected[1] > 0 {
-		t.Errorf("in a short outage: got %d rejected, want none", s.rejected[1])
+		t.Errorf("short outage: got %d messages rejected, want none", s.rejected[1])
 	}
-	s.flood(1, 50, 20*time.Second, 28*time.Second)
-	if d := s.offer(1, 0, 1, 28*time.Second); d.Reason != TooLate || d.RetryAfter <= 0 {
-		t.Errorf("after 25 s of outage: got %v, want TooLate", d)
+	s.submitAtRate(1, 50, 20*time.Second, 28*time.Second)
+	if d := s.submit(1, 0, 1, 28*time.Second); d.Reason != TooLate || d.RetryAfter <= 0 {
+		t.Errorf("after 25 s of outage: got %v, want TooLate with a retry delay", d)
 	}
 	s.down[1] = false
 	s.advance(5 * time.Second)
-	if d := s.offer(1, 0, 1, 28*time.Second); d.Reason != Admitted {
+	if d := s.submit(1, 0, 1, 28*time.Second); d.Reason != Admitted {
 		t.Errorf("after the recovery: got %v, want Admitted", d)
 	}
-	// A Retry-After counts from the first moment.
+	// A Retry-After applies immediately.
 	s.c.Observe(s.now, Observation{Kind: CallCompleted, Destination: 1, Outcome: policy.RateLimited, RetryAfter: 20 * time.Second})
-	d := s.offer(1, 0, 1, 28*time.Second)
+	d := s.submit(1, 0, 1, 28*time.Second)
 	if d.Reason != TooLate || d.RetryAfter < 5*time.Second {
-		t.Errorf("within a Retry-After of 20 s, with 14 s to wait at most: got %v, want TooLate", d)
+		t.Errorf("Retry-After of 20 s and a longest wait of 14 s: got %v, want TooLate with a retry delay of 5 s or more", d)
 	}
 }
 
-// However long an outage lasts, a few messages are in flight at any time: without one nothing would be sent that could
-// find out that it is over. Soon after the recovery all are admitted again.
+// In an outage of any length a few messages must be in flight: without a message to send, the node would not detect
+// the recovery. Soon after the recovery all messages must be admitted again.
 func TestLongOutageKeepsTrialMessages(t *testing.T) {
 	s := newSimulation(17000, 1)
 	s.rate[1] = 100
-	s.flood(1, 50, 5*time.Second, 10*time.Second)
+	s.submitAtRate(1, 50, 5*time.Second, 10*time.Second)
 	s.down[1] = true
-	s.flood(1, 50, 30*time.Second, 10*time.Second)
+	s.submitAtRate(1, 50, 30*time.Second, 10*time.Second)
 	rejected, admitted := s.rejected[1], s.admitted[1]
-	s.flood(1, 50, 30*time.Second, 10*time.Second)
+	s.submitAtRate(1, 50, 30*time.Second, 10*time.Second)
 	if inFlight := s.c.InFlight(); inFlight < 1 || inFlight > minTrialMessages {
-		t.Errorf("after a minute of outage: got %d in flight, want 1 to %d", inFlight, minTrialMessages)
+		t.Errorf("after a minute of outage: got %d messages in flight, want 1 to %d", inFlight, minTrialMessages)
 	}
 	if more := s.admitted[1] - admitted; s.rejected[1] == rejected || more > 4*minTrialMessages {
-		t.Errorf("in half a minute: got %d admitted and %d rejected", more, s.rejected[1]-rejected)
+		t.Errorf("second half minute of outage: got %d admitted and %d rejected, want %d admitted at most and some rejected", more, s.rejected[1]-rejected, 4*minTrialMessages)
 	}
 	s.down[1] = false
-	s.flood(1, 50, time.Second, 10*time.Second)
+	s.submitAtRate(1, 50, time.Second, 10*time.Second)
 	rejected = s.rejected[1]
-	s.flood(1, 50, 5*time.Second, 10*time.Second)
+	s.submitAtRate(1, 50, 5*time.Second, 10*time.Second)
 	if s.rejected[1] != rejected {
-		t.Errorf("after the recovery: got %d of 250 rejected, want none", s.rejected[1]-rejected)
+		t.Errorf("after the recovery: got %d of 250 messages rejected, want none", s.rejected[1]-rejected)
 	}
 }
 
-// A rate does not include the time of an outage: what waited through one is delivered after it as quickly as before,
-// and what arrives meanwhile is admitted.
+// A rate must not include the duration of an outage. Otherwise it would be too low, and messages that arrive after
+// the recovery would be rejected although the destination delivers as fast as before.
 func TestRateExcludesOutage(t *testing.T) {
 	s := newSimulation(17000, 1)
 	s.rate[1] = 100
-	s.flood(1, 50, 2*time.Second, 10*time.Second) // too few to learn its rate
+	s.submitAtRate(1, 50, 2*time.Second, 10*time.Second) // too few messages to measure the rate
 	s.down[1] = true
-	s.flood(1, 50, 3*time.Second, 10*time.Second)
+	s.submitAtRate(1, 50, 3*time.Second, 10*time.Second)
 	s.down[1] = false
-	s.flood(1, 50, 5*time.Second, 10*time.Second)
+	s.submitAtRate(1, 50, 5*time.Second, 10*time.Second)
 	if s.rejected[1] > 0 || s.expired[1] > 0 {
-		t.Errorf("of 500: got %d rejected, %d expired, want none", s.rejected[1], s.expired[1])
+		t.Errorf("of 500 messages: got %d rejected, %d expired, want none", s.rejected[1], s.expired[1])
 	}
 }
 
-// The retry delay is right: a client that comes back after it is admitted, and clients with different delays come at
-// the pace at which messages complete.
-func TestRetryAfterIsRight(t *testing.T) {
+// A client that retries after its delay must be admitted, and the delays of successive clients must be spaced at the
+// rate at which messages complete.
+func TestRetryAfterLeadsToAdmission(t *testing.T) {
 	s := newSimulation(17000, 1)
 	s.rate[1] = 100
-	s.flood(1, 300, 20*time.Second, 10*time.Second)
+	s.submitAtRate(1, 300, 20*time.Second, 10*time.Second)
 	var retryAt []Time
 	for range 100 {
-		d := s.offer(1, 0, 1, 10*time.Second)
+		d := s.submit(1, 0, 1, 10*time.Second)
 		if d.Reason == Admitted {
 			continue
 		}
@@ -286,21 +289,21 @@
 	}
 	for i, at := range retryAt {
 		if i > 0 && at < retryAt[i-1] {
-			t.Fatalf("client %d got an earlier time than the one before", i)
+			t.Fatalf("client %d: got an earlier retry time than the previous client", i)
 		}
 		s.advance(max(0, at-s.now))
-		if d := s.offer(1, 0, 1, 10*time.Second); d.Reason != Admitted && at < s.now+MaxRetryAfter-step {
-			t.Fatalf("client %d of %d came back in time: got %v, retry after %v, want Admitted", i, len(retryAt), d.Reason, d.RetryAfter)
+		if d := s.submit(1, 0, 1, 10*time.Second); d.Reason != Admitted && at < s.now+MaxRetryAfter-simulationStep {
+			t.Fatalf("client %d of %d, retrying after its delay: got %v, retry after %v, want Admitted", i, len(retryAt), d.Reason, d.RetryAfter)
 		}
 	}
 	if len(retryAt) < 50 {
-		t.Fatalf("got %d rejected, want 50 or more", len(retryAt))
+		t.Fatalf("got %d messages rejected, want 50 or more", len(retryAt))
 	}
 }
 
-// Whatever happens: no more is in flight than the capacity, the counts are those of a plain list, no retry delay is out
-// of its bounds, and nothing is kept of completed messages.
-func TestCounts(t *testing.T) {
+// After random calls the number of messages in flight must not exceed the capacity, the counts must match a plain
+// list of messages, retry delays must be within their limits, and completed messages must leave no state.
+func TestControllerCountsMatchMessageList(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		capacity := rapid.IntRange(0, 40).Draw(t, "capacity")
 		c := New(Settings{Weights: []float64{1, 5, 0}, Capacity: capacity})
@@ -315,9 +318,9 @@
 				case d.Reason == Admitted && d.RetryAfter == 0:
 					all = append(all, m)
 				case d.Reason == Admitted || d.RetryAfter < minRetryAfter || d.RetryAfter > MaxRetryAfter:
-					t.Fatalf("decided %+v", d)
+					t.Fatalf("got decision %+v, want Admitted or a retry delay within its limits", d)
 				case len(all) == 0 && capacity != 1 && d.Reason == NoCapacity:
-					t.Fatal("got NoCapacity with nothing in flight")
+					t.Fatal("got NoCapacity without messages in flight")
 				}
 			},
 			"adopt": func(t *rapid.T) {
@@ -327,7 +330,7 @@
 					all = append(all, m)
 				}
 			},
-			"end": func(t *rapid.T) {
+			"complete or release": func(t *rapid.T) {
 				if len(all) == 0 {
 					t.Skip()
 				}
@@ -340,7 +343,7 @@
 				}
 				c.Observe(now, Observation{Kind: MessageCompleted, Destination: m.dest, Class: m.class})
 			},
-			"see": func(t *rapid.T) {
+			"observe": func(t *rapid.T) {
 				c.Observe(now, Observation{
 					Kind: ObservationKind(rapid.IntRange(0, 1).Draw(t, "kind")), Destination: rapid.IntRange(0, 4).Draw(t, "dest"),
 					Outcome:    policy.Outcome(rapid.IntRange(0, int(policy.NotSent)).Draw(t, "outcome")),
@@ -350,10 +353,10 @@
 			"wait": func(t *rapid.T) { now += time.Duration(rapid.Int64Range(0, int64(time.Minute)).Draw(t, "time")) },
 			"": func(t *rapid.T) {
 				if capacity > 0 && len(all) > capacity {
-					t.Fatalf("got %d in flight, want %d at most", len(all), capacity)
+					t.Fatalf("got %d messages in flight, want %d at most", len(all), capacity)
 				}
 				if c.InFlight() != len(all) {
-					t.Fatalf("in flight: got %d, want %d", c.InFlight(), len(all))
+					t.Fatalf("messages in flight: got %d, want %d", c.InFlight(), len(all))
 				}
 				for n, d := range c.destinations {
 					sum := 0
@@ -361,7 +364,7 @@
 						sum += k
 					}
 					if sum != d.inFlight || sum < 0 || math.IsNaN(d.rate.perSecond) {
-						t.Fatalf("destination %d: %+v", n, d)
+						t.Fatalf("destination %d: inconsistent counts or rate: %+v", n, d)
 					}
 				}
 			},
@@ -369,8 +372,8 @@
 	})
 }
 
-// Destinations that are not used any more are evicted.
-func TestDestinationsAreEvicted(t *testing.T) {
+// Destinations that are no longer used must be evicted.
+func TestIdleDestinationsAreEvicted(t *testing.T) {
 	c := New(Settings{Weights: []float64{1}, Capacity: 100000})
 	rng := rand.New(rand.NewPCG(1, 2))
 	now := time.Hour
@@ -381,7 +384,7 @@
 		}
 		c.Observe(now, Observation{Kind: MessageCompleted, Destination: d})
 		if now += 10 * time.Millisecond; i > 0 && c.Destinations() > 2*int(Retention/(10*time.Millisecond))+1 {
-			t.Fatalf("got %d destinations, want no more than were used within the retention", c.Destinations())
+			t.Fatalf("got %d destinations, want at most those used within two retention periods", c.Destinations())
 		}
 	}
 }
--- a/decide/admission/boundaries_test.go
+++ b/decide/admission/boundaries_test.go
@@ -6,31 +6,31 @@
 	"wingmount/policy"
 )
 
-// The tests of this file pin each comparison and each sum of times: what is decided at the exact instant, and one
-// nanosecond before or after it.
+// The tests in this file check each comparison and each sum of times at its boundary: the decision at the exact time,
+// and one nanosecond before or after it.
 
 const (
-	start = time.Hour // when each test begins
+	start = time.Hour // virtual time at which each test begins
 	tick  = time.Nanosecond
 )
 
-// adopt puts n messages of a class in flight to a destination.
-func adopt(c *Controller, now Time, dest, class, n int) {
+// adoptMessages puts n messages of a class to a destination in flight.
+func adoptMessages(c *Controller, now Time, dest, class, n int) {
 	for range n {
 		c.Adopt(now, dest, class)
 	}
 }
 
-// deliver completes n calls to a destination, each with success.
-func deliver(c *Controller, now Time, dest, n int, took time.Duration) {
+// deliverCalls completes n successful calls to a destination.
+func deliverCalls(c *Controller, now Time, dest, n int, took time.Duration) {
 	for range n {
 		c.Observe(now, Observation{Kind: CallStarted, Destination: dest})
 		c.Observe(now, Observation{Kind: CallCompleted, Destination: dest, Outcome: policy.Delivered, Duration: took})
 	}
 }
 
-// fail completes a call to destination 1 without success.
-func fail(c *Controller, now Time, retryAfter time.Duration) {
+// failCall completes a failed call to destination 1.
+func failCall(c *Controller, now Time, retryAfter time.Duration) {
 	c.Observe(now, Observation{Kind: CallStarted, Destination: 1})
 	c.Observe(now, Observation{Kind: CallCompleted, Destination: 1, Outcome: policy.Failed, RetryAfter: retryAfter})
 }
@@ -42,26 +42,27 @@
 	}
 }
 
-// wantRateKnown reports an error unless a long backlog of destination 1 is rejected, which needs a known rate.
+// wantRateKnown checks whether the rate of destination 1 is known: a message after a long backlog is rejected only
+// with a known rate.
 func wantRateKnown(t *testing.T, when string, c *Controller, now Time, want bool) {
 	t.Helper()
-	adopt(c, now, 1, 0, 100_000)
+	adoptMessages(c, now, 1, 0, 100_000)
 	if got := c.Admit(now, 1, 0, 10*time.Minute).Reason == TooLate; got != want {
-		t.Errorf("%s: rate known got %v, want %v", when, got, want)
+		t.Errorf("%s: rate known: got %v, want %v", when, got, want)
 	}
 }
 
-// learned returns a controller whose destination 1 has 10 messages in flight and takes 30 a second, as learned at
-// the time returned.
-func learned(weights ...float64) (*Controller, Time) {
+// controllerWithKnownRate returns a controller and the time of its last rate sample. Its destination 1 has 10
+// messages in flight and a measured rate of 30 messages a second.
+func controllerWithKnownRate(weights ...float64) (*Controller, Time) {
 	c := New(Settings{Weights: weights})
-	adopt(c, start, 1, 0, 10)
-	learnedAt := start + 100*time.Millisecond
-	deliver(c, learnedAt, 1, 3, 0)
-	return c, learnedAt
+	adoptMessages(c, start, 1, 0, 10)
+	measuredAt := start + 100*time.Millisecond
+	deliverCalls(c, measuredAt, 1, 3, 0)
+	return c, measuredAt
 }
 
-func TestFirstRateSampleBoundaries(t *testing.T) {
+func TestFirstRateSampleRequiresDurationAndDeliveries(t *testing.T) {
 	for _, test := range []struct {
 		name      string
 		after     time.Duration
@@ -76,20 +77,20 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			c := New(Settings{Weights: []float64{1}})
-			adopt(c, start, 1, 0, 10)
-			deliver(c, start+test.after, 1, test.delivered, 0)
+			adoptMessages(c, start, 1, 0, 10)
+			deliverCalls(c, start+test.after, 1, test.delivered, 0)
 			wantRateKnown(t, "after the sample", c, start+test.after, test.want)
 		})
 	}
 }
 
-// Later samples need eight deliveries, or the longest time of a sample.
-func TestLaterRateSampleBoundaries(t *testing.T) {
+// A sample after the first one is complete with eight deliveries, or at the longest duration of a sample.
+func TestLaterRateSampleRequiresMoreDeliveries(t *testing.T) {
 	for _, test := range []struct {
 		name      string
 		after     time.Duration
 		delivered int
-		want      Reason // of a message behind 3,000 others that may wait for 110 s: 100 s at 30 a second
+		want      Reason // for a message after 3,000 others that may wait for 110 s; the wait is 100 s at 30 a second
 	}{
 		{"seven", 700 * time.Millisecond, 7, Admitted},
 		{"eight, slower than before", 700 * time.Millisecond, 8, TooLate}, // 30 + 0.25 * (11.4 - 30): 119 s
@@ -97,37 +98,37 @@
 		{"one at the longest sample", 2 * time.Second, 1, TooLate},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			c, at := learned(1)
-			deliver(c, at+test.after, 1, test.delivered, 0)
-			adopt(c, at+test.after, 1, 0, 2990)
-			wantReason(t, "behind 3,000", c.Admit(at+test.after, 1, 0, 220*time.Second), test.want)
+			c, at := controllerWithKnownRate(1)
+			deliverCalls(c, at+test.after, 1, test.delivered, 0)
+			adoptMessages(c, at+test.after, 1, 0, 2990)
+			wantReason(t, "after 3,000 messages", c.Admit(at+test.after, 1, 0, 220*time.Second), test.want)
 		})
 	}
 }
 
-// A sample that ends since nothing waits any more raises the rate, if it was long enough.
-func TestSampleEndsWithItsBacklog(t *testing.T) {
+// A sample that ends because no message waits any longer must raise the rate if it was long enough.
+func TestSampleEndingWithBacklogRaisesRate(t *testing.T) {
 	for _, test := range []struct {
 		name string
 		over time.Duration
-		want Reason // of a message behind 1,000 others that may wait for 10 s: 5 s at 200 a second, 33 s at 30
+		want Reason // for a message after 1,000 others that may wait for 10 s; the wait is 5 s at 200 a second, 33 s at 30
 	}{
 		{"before the shortest sample", 100*time.Millisecond - tick, TooLate},
 		{"at the shortest sample", 100 * time.Millisecond, Admitted},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			c, at := learned(1)
-			deliver(c, at+50*time.Millisecond, 1, 20, 0)
+			c, at := controllerWithKnownRate(1)
+			deliverCalls(c, at+50*time.Millisecond, 1, 20, 0)
 			for range 10 {
 				c.Observe(at+test.over, Observation{Kind: MessageCompleted, Destination: 1})
 			}
-			adopt(c, at+test.over, 1, 0, 1000)
-			wantReason(t, "behind 1,000", c.Admit(at+test.over, 1, 0, 20*time.Second), test.want)
+			adoptMessages(c, at+test.over, 1, 0, 1000)
+			wantReason(t, "after 1,000 messages", c.Admit(at+test.over, 1, 0, 20*time.Second), test.want)
 		})
 	}
 }
 
-func TestRateExpiry(t *testing.T) {
+func TestRateExpiresUnlessCallsFail(t *testing.T) {
 	for _, test := range []struct {
 		name    string
 		age     time.Duration
@@ -140,29 +141,31 @@
 		{"a minute old while calls fail", time.Minute, true, true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			c, at := learned(1)
+			c, at := controllerWithKnownRate(1)
 			if test.failing {
-				fail(c, at+time.Second, 0)
+				failCall(c, at+time.Second, 0)
 			}
-			wantRateKnown(t, "a rate", c, at+test.age, test.want)
+			wantRateKnown(t, "at that age", c, at+test.age, test.want)
 		})
 	}
 }
 
-// A message may wait for half of its time, and must have four calls' time left when its turn comes.
-func TestDeadlineBoundaries(t *testing.T) {
+// A message may wait for half of the time until its deadline, and must have the time of four calls left when it is
+// sent.
+func TestDeadlineRequiresHalfTheTimeAndFourCalls(t *testing.T) {
 	c := New(Settings{Weights: []float64{1}})
 	c.Observe(start, Observation{Kind: CallCompleted, Destination: 1, Outcome: policy.Cancelled, RetryAfter: 10 * time.Second})
 	wantReason(t, "a wait of half its time", c.Admit(start, 1, 0, 20*time.Second), Admitted)
 	wantReason(t, "a wait of more than half its time", c.Admit(start, 1, 0, 20*time.Second-2*tick), TooLate)
 	wantReason(t, "a nanosecond later", c.Admit(start+tick, 1, 0, 20*time.Second-2*tick), Admitted)
-	deliver(c, start, 2, 1, time.Second)
+	deliverCalls(c, start, 2, 1, time.Second)
 	wantReason(t, "time for four calls", c.Admit(start, 2, 0, 4*time.Second), Admitted)
 	wantReason(t, "less time than four calls take", c.Admit(start, 2, 0, 4*time.Second-tick), TooLate)
 }
 
-// Failures that continue for a second count as an outage, which is forecast to last as long again.
-func TestOutageBoundaries(t *testing.T) {
+// Failures that continue for one second count as an outage, which is expected to last for as long as it has lasted so
+// far.
+func TestOutageStartsAfterOneSecondOfFailures(t *testing.T) {
 	for _, test := range []struct {
 		name           string
 		failingFor     time.Duration
@@ -173,62 +176,62 @@
 		wantRetry      time.Duration
 		failsInBetween bool
 	}{
-		{name: "before it is an outage", failingFor: time.Second - tick, left: time.Second, inFlight: 4, want: Admitted},
-		{name: "once it is an outage", failingFor: time.Second, left: time.Second, inFlight: 4, want: TooLate, wantRetry: 500 * time.Millisecond},
+		{name: "before one second", failingFor: time.Second - tick, left: time.Second, inFlight: 4, want: Admitted},
+		{name: "from one second on", failingFor: time.Second, left: time.Second, inFlight: 4, want: TooLate, wantRetry: 500 * time.Millisecond},
 		{name: "counted from the first failure", failingFor: time.Second, left: time.Second, inFlight: 4, want: TooLate, wantRetry: 500 * time.Millisecond, failsInBetween: true},
-		{name: "lasts as long again", failingFor: 3 * time.Second, left: 6 * time.Second, inFlight: 4, want: Admitted},
-		{name: "lasts longer than it may wait", failingFor: 3*time.Second + tick, left: 6 * time.Second, inFlight: 4, want: TooLate, wantRetry: 100 * time.Millisecond},
-		{name: "with fewer in flight than trials need", failingFor: time.Minute, left: time.Second, inFlight: 3, want: Admitted},
-		{name: "a trial that may be made in time", failingFor: 2 * time.Second, left: 3 * time.Second, inFlight: 1, retryAfter: 3500 * time.Millisecond, want: Admitted},
-		{name: "a trial that may not", failingFor: 2 * time.Second, left: 3 * time.Second, inFlight: 1, retryAfter: 3500*time.Millisecond + tick, want: TooLate, wantRetry: 500 * time.Millisecond},
+		{name: "expected to last for 3 s more", failingFor: 3 * time.Second, left: 6 * time.Second, inFlight: 4, want: Admitted},
+		{name: "expected to last longer than the message may wait", failingFor: 3*time.Second + tick, left: 6 * time.Second, inFlight: 4, want: TooLate, wantRetry: 100 * time.Millisecond},
+		{name: "with fewer messages in flight than allowed for trials", failingFor: time.Minute, left: time.Second, inFlight: 3, want: Admitted},
+		{name: "a trial that Retry-After allows in time", failingFor: 2 * time.Second, left: 3 * time.Second, inFlight: 1, retryAfter: 3500 * time.Millisecond, want: Admitted},
+		{name: "a trial that Retry-After allows too late", failingFor: 2 * time.Second, left: 3 * time.Second, inFlight: 1, retryAfter: 3500*time.Millisecond + tick, want: TooLate, wantRetry: 500 * time.Millisecond},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			c := New(Settings{Weights: []float64{1}})
-			adopt(c, start, 1, 0, test.inFlight)
-			fail(c, start, test.retryAfter)
+			adoptMessages(c, start, 1, 0, test.inFlight)
+			failCall(c, start, test.retryAfter)
 			if test.failsInBetween {
-				fail(c, start+test.failingFor/2, 0)
+				failCall(c, start+test.failingFor/2, 0)
 			}
 			got := c.Admit(start+test.failingFor, 1, 0, test.left)
-			wantReason(t, "decided", got, test.want)
+			wantReason(t, "decision", got, test.want)
 			if got.RetryAfter != test.wantRetry {
-				t.Errorf("retry after: got %v, want %v", got.RetryAfter, test.wantRetry)
+				t.Errorf("retry delay: got %v, want %v", got.RetryAfter, test.wantRetry)
 			}
 		})
 	}
 }
 
-// Deliveries before an outage do not count for the rate after it.
-func TestSampleAfterOutage(t *testing.T) {
+// Deliveries before an outage must not count in the rate after it.
+func TestOutageRestartsRateSample(t *testing.T) {
 	for _, test := range []struct {
 		name       string
 		failingFor time.Duration
 		want       bool
 	}{
-		{"short failures count into the sample", time.Second - tick, true},
-		{"an outage begins a new sample", time.Second, false},
+		{"a shorter failure period is included in the sample", time.Second - tick, true},
+		{"an outage starts a new sample", time.Second, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			c := New(Settings{Weights: []float64{1}})
-			adopt(c, start, 1, 0, 10)
-			fail(c, start, 0)
-			deliver(c, start+test.failingFor, 1, 3, 0)
+			adoptMessages(c, start, 1, 0, 10)
+			failCall(c, start, 0)
+			deliverCalls(c, start+test.failingFor, 1, 3, 0)
 			wantRateKnown(t, "after three deliveries", c, start+test.failingFor, test.want)
 		})
 	}
 }
 
-func TestRetryAfterBoundaries(t *testing.T) {
+func TestRetryAfterIsLimited(t *testing.T) {
 	for _, test := range []struct {
 		name             string
-		retryAfter, want time.Duration // of the destination, and for the client, whose message may wait for 10 s
+		retryAfter, want time.Duration // from the destination, and to the client; the message may wait for 10 s
 	}{
-		{"the least", 10*time.Second + tick, 100 * time.Millisecond},
-		{"the least, exactly", 10*time.Second + 100*time.Millisecond, 100 * time.Millisecond},
-		{"above the least", 10*time.Second + 100*time.Millisecond + tick, 100*time.Millisecond + tick},
-		{"below the longest", 40*time.Second - tick, 30*time.Second - tick},
-		{"the longest, exactly", 40 * time.Second, 30 * time.Second},
-		{"above the longest", 40*time.Second + tick, 30 * time.Second},
+		{"below the minimum", 10*time.Second + tick, 100 * time.Millisecond},
+		{"the minimum", 10*time.Second + 100*time.Millisecond, 100 * time.Millisecond},
+		{"above the minimum", 10*time.Second + 100*time.Millisecond + tick, 100*time.Millisecond + tick},
+		{"below the maximum", 40*time.Second - tick, 30*time.Second - tick},
+		{"the maximum", 40 * time.Second, 30 * time.Second},
+		{"above the maximum", 40*time.Second + tick, 30 * time.Second},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			c := New(Settings{Weights: []float64{1}})
@@ -240,10 +243,10 @@
 	}
 }
 
-// Clients that are rejected together come back at the pace at which the destination takes messages.
-func TestRetryAfterIsPaced(t *testing.T) {
-	c, at := learned(1)
-	adopt(c, at, 1, 0, 590) // 20 s
+// Clients that are rejected together must retry at the rate at which the destination accepts calls.
+func TestRetryAfterIsSpacedByRate(t *testing.T) {
+	c, at := controllerWithKnownRate(1)
+	adoptMessages(c, at, 1, 0, 590) // 20 s
 	gap := time.Second / 30
 	for i, now := range []Time{at, at, at + 5*time.Millisecond} {
 		got := c.Admit(now, 1, 0, 20*time.Second)
@@ -254,20 +257,20 @@
 	}
 }
 
-// Of the rate what is admitted of higher priority is left out, averaged over two seconds.
-func TestRateLeavesOutHigherPriority(t *testing.T) {
+// The rate available to a class excludes the admissions of higher weight, averaged over two seconds.
+func TestRateExcludesAdmissionsOfHigherWeight(t *testing.T) {
 	for _, test := range []struct {
 		name  string
 		after time.Duration
-		want  time.Duration // until a message behind 1,030 others may wait for 20 s
+		want  time.Duration // retry delay of a message after 1,030 others that may wait for 20 s
 	}{
-		{"at once", 0, 31500 * time.Millisecond},                         // 1,030 at 20 a second, limited below to 30 s
+		{"immediately", 0, 31500 * time.Millisecond},                     // 1,030 at 20 a second; limited to 30 s below
 		{"after two seconds", 2 * time.Second, 19132 * time.Millisecond}, // 1,030 at 26.32 a second
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			c, at := learned(1, 10)
-			adopt(c, at, 1, 0, 1000)
-			adopt(c, at, 1, 1, 20)
+			c, at := controllerWithKnownRate(1, 10)
+			adoptMessages(c, at, 1, 0, 1000)
+			adoptMessages(c, at, 1, 1, 20)
 			got := c.Admit(at+test.after, 1, 0, 40*time.Second)
 			want := min(test.want, 30*time.Second)
 			if got.Reason != TooLate || got.RetryAfter < want-2*time.Millisecond || got.RetryAfter > want+2*time.Millisecond {
@@ -277,20 +280,20 @@
 	}
 }
 
-func TestIdleDestinationExpiry(t *testing.T) {
+func TestIdleDestinationIsEvictedAfterRetention(t *testing.T) {
 	for _, test := range []struct {
 		name          string
 		lastUse, then time.Duration
-		want          int // destinations, that of the request at the time then among them
+		want          int // destinations, including that of the message at the time then
 	}{
-		{"before the next sweep is due", 0, 30*time.Second - tick, 2},
-		{"when it is due", 0, 30 * time.Second, 1},
-		{"used a moment after the last sweep", tick, 30 * time.Second, 2},
-		{"used a moment after the last sweep, swept later", tick, 30*time.Second + tick, 1},
+		{"before the next eviction scan", 0, 30*time.Second - tick, 2},
+		{"at the next eviction scan", 0, 30 * time.Second, 1},
+		{"used after the last eviction scan", tick, 30 * time.Second, 2},
+		{"used after the last eviction scan, which runs later", tick, 30*time.Second + tick, 1},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			c := New(Settings{Weights: []float64{1}})
-			c.Admit(start, 1, 0, time.Minute) // sweeps
+			c.Admit(start, 1, 0, time.Minute) // runs an eviction scan
 			c.Observe(start+test.lastUse, Observation{Kind: MessageCompleted, Destination: 1})
 			c.Admit(start+test.then, 2, 0, time.Minute)
 			if got := c.Destinations(); got != test.want {
@@ -306,113 +309,113 @@
 	}
 }
 
-// An engine is saturated from a lag of half a second or nine tenths of its time at work.
-func TestSaturationBoundaries(t *testing.T) {
+// The engine is saturated from a lag of half a second or a utilization of 0.9 on.
+func TestSaturationStartsAtLagOrUtilizationLimit(t *testing.T) {
 	for _, test := range []struct {
 		name  string
 		load  EngineLoad
-		after time.Duration // since it is saturated
+		after time.Duration // since the saturation began
 		left  time.Duration
 		want  Reason
 	}{
-		{"lag below a stall", EngineLoad{Lag: 500*time.Millisecond - tick}, 0, time.Hour, Admitted},
+		{"lag shorter than a stall", EngineLoad{Lag: 500*time.Millisecond - tick}, 0, time.Hour, Admitted},
 		{"lag of a stall", EngineLoad{Lag: 500 * time.Millisecond}, 0, time.Hour, Saturated},
-		{"less at work", EngineLoad{Utilization: 0.8999}, time.Second, time.Second, Admitted},
-		{"at work", EngineLoad{Utilization: 0.9}, time.Second, time.Second, Saturated},
-		{"without a rate it lasts as long again", EngineLoad{Utilization: 0.9}, time.Second, 2 * time.Second, Admitted},
-		{"and longer than the message may wait", EngineLoad{Utilization: 0.9}, time.Second + tick, 2 * time.Second, Saturated},
-		{"with the lag", EngineLoad{Utilization: 0.9, Lag: 400 * time.Millisecond}, 600 * time.Millisecond, 2 * time.Second, Admitted},
-		{"with a longer lag", EngineLoad{Utilization: 0.9, Lag: 400*time.Millisecond + tick}, 600 * time.Millisecond, 2 * time.Second, Saturated},
+		{"utilization below the limit", EngineLoad{Utilization: 0.8999}, time.Second, time.Second, Admitted},
+		{"utilization at the limit", EngineLoad{Utilization: 0.9}, time.Second, time.Second, Saturated},
+		{"without a rate, expected to last for 1 s more", EngineLoad{Utilization: 0.9}, time.Second, 2 * time.Second, Admitted},
+		{"without a rate, expected to last longer than the message may wait", EngineLoad{Utilization: 0.9}, time.Second + tick, 2 * time.Second, Saturated},
+		{"lag included in the wait", EngineLoad{Utilization: 0.9, Lag: 400 * time.Millisecond}, 600 * time.Millisecond, 2 * time.Second, Admitted},
+		{"longer lag included in the wait", EngineLoad{Utilization: 0.9, Lag: 400*time.Millisecond + tick}, 600 * time.Millisecond, 2 * time.Second, Saturated},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			c := New(Settings{Weights: []float64{1}})
 			c.SetEngineLoad(start, test.load)
 			c.SetEngineLoad(start+test.after, test.load)
-			wantReason(t, "decided", c.Admit(start+test.after, 1, 0, test.left), test.want)
+			wantReason(t, "decision", c.Admit(start+test.after, 1, 0, test.left), test.want)
 		})
 	}
 }
 
-// The rate of the node is what it delivered since it is saturated, from a tenth of a second on; samples of a second
-// are averaged.
-func TestNodeRateBoundaries(t *testing.T) {
+// The rate of the node includes only deliveries since the saturation began, and is known after a tenth of a second.
+// Samples of one second are averaged.
+func TestNodeRateUsesSamplesSinceSaturation(t *testing.T) {
 	for _, test := range []struct {
 		name     string
-		sample   time.Duration // 30 are delivered by its end, one more half a second after a second
+		sample   time.Duration // 30 messages are delivered by its end, and one more at 1.5 s
 		at       time.Duration
 		inFlight int
 		left     time.Duration
 		want     Reason
 	}{
-		{"before the rate counts", 50 * time.Millisecond, 100*time.Millisecond - tick, 10_000, 10 * time.Second, Admitted},
-		{"once the rate counts", 50 * time.Millisecond, 100 * time.Millisecond, 10_000, 10 * time.Second, Saturated}, // 33 s at 300/s
-		{"a sample that is complete", time.Second, 1500 * time.Millisecond, 300, 24 * time.Second, Admitted},         // 10 s at 30/s
-		{"a sample that goes on", time.Second - tick, 1500 * time.Millisecond, 300, 24 * time.Second, Saturated},     // 14.5 s at 20.7/s
+		{"before the rate is known", 50 * time.Millisecond, 100*time.Millisecond - tick, 10_000, 10 * time.Second, Admitted},
+		{"once the rate is known", 50 * time.Millisecond, 100 * time.Millisecond, 10_000, 10 * time.Second, Saturated}, // 33 s at 300/s
+		{"a complete sample", time.Second, 1500 * time.Millisecond, 300, 24 * time.Second, Admitted},                   // 10 s at 30/s
+		{"a sample in progress", time.Second - tick, 1500 * time.Millisecond, 300, 24 * time.Second, Saturated},        // 14.5 s at 20.7/s
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			c := New(Settings{Weights: []float64{1}})
 			c.SetEngineLoad(start-time.Second, EngineLoad{})
-			deliver(c, start-time.Second, 2, 500, 0) // before it is saturated: does not count
+			deliverCalls(c, start-time.Second, 2, 500, 0) // ignored, since they precede the saturation
 			c.SetEngineLoad(start, EngineLoad{Utilization: 1})
-			adopt(c, start, 1, 0, test.inFlight)
-			deliver(c, start+min(test.sample, 50*time.Millisecond), 2, 29, 0)
-			deliver(c, start+test.sample, 2, 1, 0)
+			adoptMessages(c, start, 1, 0, test.inFlight)
+			deliverCalls(c, start+min(test.sample, 50*time.Millisecond), 2, 29, 0)
+			deliverCalls(c, start+test.sample, 2, 1, 0)
 			if test.at >= 1500*time.Millisecond {
-				deliver(c, start+1500*time.Millisecond, 2, 1, 0)
+				deliverCalls(c, start+1500*time.Millisecond, 2, 1, 0)
 			}
 			c.SetEngineLoad(start+test.at, EngineLoad{Utilization: 1})
-			wantReason(t, "decided", c.Admit(start+test.at, 3, 0, test.left), test.want)
+			wantReason(t, "decision", c.Admit(start+test.at, 3, 0, test.left), test.want)
 		})
 	}
 }
 
-// What waits for a saturated engine waits for the round under way as well.
-func TestNodeRateCountsTheLag(t *testing.T) {
+// A message that waits for a saturated engine also waits for the round in progress.
+func TestExpectedEngineWaitIncludesLag(t *testing.T) {
 	for _, test := range []struct {
 		name string
 		lag  time.Duration
-		want Reason // of a message behind 100 at 10 a second that may wait for 10.4 s
+		want Reason // for a message after 100 others at 10 a second that may wait for 10.4 s
 	}{
-		{"within its time", 400 * time.Millisecond, Admitted},
-		{"beyond its time", 400*time.Millisecond + tick, Saturated},
+		{"within the allowed wait", 400 * time.Millisecond, Admitted},
+		{"beyond the allowed wait", 400*time.Millisecond + tick, Saturated},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			c := New(Settings{Weights: []float64{1}})
 			load := EngineLoad{Lag: test.lag, Utilization: 1}
 			c.SetEngineLoad(start, load)
-			adopt(c, start, 1, 0, 100)
-			deliver(c, start+100*time.Millisecond, 2, 1, 0)
+			adoptMessages(c, start, 1, 0, 100)
+			deliverCalls(c, start+100*time.Millisecond, 2, 1, 0)
 			c.SetEngineLoad(start+100*time.Millisecond, load)
-			wantReason(t, "decided", c.Admit(start+100*time.Millisecond, 3, 0, 20800*time.Millisecond), test.want)
+			wantReason(t, "decision", c.Admit(start+100*time.Millisecond, 3, 0, 20800*time.Millisecond), test.want)
 		})
 	}
 }
 
-// A destination may have eight times the free places, one of the lowest priority a sixteenth of that.
-func TestCapacityBoundaries(t *testing.T) {
+// A destination may use eight times the free places; with messages of the lowest weight, a sixteenth of that.
+func TestCapacityShareDependsOnFreeCapacityAndWeight(t *testing.T) {
 	for _, test := range []struct {
 		name            string
-		capacity, other int // places, and messages in flight to another destination
+		capacity, other int // capacity, and messages in flight to another destination
 		own, class      int
 		want            Reason
 		wantRetry       time.Duration
 	}{
-		{"the last of its part", 90, 0, 79, 1, Admitted, 0}, // 80 of 8 * 11
-		{"exactly its part", 89, 0, 79, 1, Admitted, 0},     // 80 of 8 * 10
-		{"one more than its part", 90, 0, 80, 1, NoCapacity, time.Second},
-		{"none is free", 90, 90, 0, 1, NoCapacity, time.Second},
-		{"low priority, the last of its part", 90, 70, 9, 0, NoCapacity, time.Second}, // 10 of 0.5 * 11
-		{"low priority within its part", 90, 70, 5, 0, Admitted, 0},                   // 6 of 0.5 * 15
-		{"low priority, one more than its part", 90, 70, 7, 0, NoCapacity, time.Second},
+		{"last place of the share", 90, 0, 79, 1, Admitted, 0}, // 80 of 8 * 11
+		{"exactly the share", 89, 0, 79, 1, Admitted, 0},       // 80 of 8 * 10
+		{"one more than the share", 90, 0, 80, 1, NoCapacity, time.Second},
+		{"no free capacity", 90, 90, 0, 1, NoCapacity, time.Second},
+		{"low weight, far above the share", 90, 70, 9, 0, NoCapacity, time.Second}, // 10 of 0.5 * 11
+		{"low weight within the share", 90, 70, 5, 0, Admitted, 0},                 // 6 of 0.5 * 15
+		{"low weight, above the share", 90, 70, 7, 0, NoCapacity, time.Second},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			c := New(Settings{Weights: []float64{1, 100}, Capacity: test.capacity})
-			adopt(c, start, 2, 1, test.other)
-			adopt(c, start, 1, test.class, test.own)
+			adoptMessages(c, start, 2, 1, test.other)
+			adoptMessages(c, start, 1, test.class, test.own)
 			got := c.Admit(start, 1, test.class, time.Minute)
-			wantReason(t, "decided", got, test.want)
+			wantReason(t, "decision", got, test.want)
 			if got.RetryAfter != test.wantRetry {
-				t.Errorf("retry after: got %v, want %v", got.RetryAfter, test.wantRetry)
+				t.Errorf("retry delay: got %v, want %v", got.RetryAfter, test.wantRetry)
 			}
 		})
 	}
--- a/decide/admission/destination.go
+++ b/decide/admission/destination.go
@@ -2,37 +2,37 @@
 
 import "time"
 
-// minOutage is from when on failures without a success between them count as an outage.
-const minOutage = time.Second
+// minOutageDuration is the time without a success after which consecutive failures count as an outage.
+const minOutageDuration = time.Second
 
 // destination is the state of one destination.
 type destination struct {
-	inFlight    int   // messages
-	byClass     []int // of them, by class
-	outstanding int   // calls, counted by their messages
+	inFlight    int   // messages in flight
+	byClass     []int // messages in flight, by class
+	outstanding int   // messages in calls that have not ended
 	admitted    []admittedRate
 
 	rate             deliveryRate
 	meanCallDuration time.Duration // 0 before the first call
 
 	failing      bool // the last outcome was a failure
-	failingSince Time // the first failure in a row
-	closedUntil  Time // by Retry-After
+	failingSince Time // time of the first consecutive failure
+	closedUntil  Time // end of the latest Retry-After
 
-	retries retryPacer
-	usedAt  Time
+	retries    retryPacer
+	lastUsedAt Time
 }
 
 func newDestination(now Time, classes int) *destination {
 	return &destination{byClass: make([]int, classes), admitted: make([]admittedRate, classes), rate: deliveryRate{updatedAt: now}}
 }
 
-// updateSampling samples the rate while messages wait for it.
+// updateSampling starts or ends a rate sample. The rate is sampled only while messages wait.
 func (d *destination) updateSampling(now Time) {
 	d.rate.setBacklog(now, d.inFlight > d.outstanding)
 }
 
-// observeCallDuration adds a call to the mean duration of calls.
+// observeCallDuration adds a call to the moving average of call durations.
 func (d *destination) observeCallDuration(duration time.Duration) {
 	if d.meanCallDuration == 0 {
 		d.meanCallDuration = duration
@@ -40,8 +40,8 @@
 	d.meanCallDuration += time.Duration(callDurationGain * float64(duration-d.meanCallDuration))
 }
 
-// knownRate returns the rate at which the destination accepts calls, in messages a second: 0 where it is not known. A
-// rate expires after Retention, but not while calls fail, since none can be measured then.
+// knownRate returns the rate at which the destination accepts calls, in messages a second, or 0 if it is unknown. A
+// rate expires after Retention, except while calls fail, since no rate can be measured then.
 func (d *destination) knownRate(now Time) float64 {
 	if now-d.rate.updatedAt > Retention && !d.failing {
 		return 0
@@ -50,10 +50,12 @@
 }
 
 // outage reports whether calls have failed for long enough to count as an outage.
-func (d *destination) outage(now Time) bool { return d.failing && now-d.failingSince >= minOutage }
+func (d *destination) outage(now Time) bool {
+	return d.failing && now-d.failingSince >= minOutageDuration
+}
 
-// expectedOutage returns for how long the destination is expected to accept nothing: until its Retry-After is over,
-// and for as long again as an outage has lasted.
+// expectedOutage returns how long the destination is expected to accept no calls: until its Retry-After ends, or for
+// as long as the current outage has lasted, whichever is longer.
 func (d *destination) expectedOutage(now Time) time.Duration {
 	wait := max(0, d.closedUntil-now)
 	if d.outage(now) {
--- a/decide/admission/engineload.go
+++ b/decide/admission/engineload.go
@@ -3,52 +3,53 @@
 import "time"
 
 const (
-	// minStall is for how long a round of the engine goes on before the engine counts as stalled.
-	minStall = 500 * time.Millisecond
-	// minSaturatedUtilization is from which utilization on the engine counts as saturated.
+	// minStallDuration is the shortest duration of a round that counts as a stall of the engine.
+	minStallDuration = 500 * time.Millisecond
+	// minSaturatedUtilization is the lowest utilization that counts as saturated.
 	minSaturatedUtilization = 0.9
-	// stalledWait is longer than any message may wait.
+	// stalledWait is the expected wait for a stalled engine; it is longer than any message may wait.
 	stalledWait = 365 * 24 * time.Hour
-	// nodeSample is the duration of a sample of the node's delivery rate.
-	nodeSample     = time.Second
-	nodeSampleGain = 0.5
+	// nodeSampleDuration is the minimum duration of a sample of the delivery rate of the node.
+	nodeSampleDuration = time.Second
+	nodeSampleGain     = 0.5
 )
 
-// EngineLoad is how the engine keeps up. It works in rounds: each handles all events that came before it, decides
-// and carries out the actions. Later events wait for the next round.
+// EngineLoad describes the load of the engine. The engine works in rounds: each round processes all events that
+// arrived before it, decides on actions and executes them. Later events wait for the next round.
 type EngineLoad struct {
-	// Lag is how long the round in progress has lasted, 0 between rounds. An event that waits for the next round has
-	// waited for so long at most, and waits for the rest of this one too.
+	// Lag is how long the round in progress has lasted, or 0 between rounds. It is the longest time that an event for
+	// the next round has waited so far; the event also waits for the rest of the round.
 	Lag time.Duration
-	// Utilization is the recent fraction of time that the engine was in a round, 0 to 1.
+	// Utilization is the fraction of recent time that the engine spent in rounds, from 0 to 1.
 	Utilization float64
 }
 
-func (l EngineLoad) stalled() bool { return l.Lag >= minStall }
+func (l EngineLoad) stalled() bool { return l.Lag >= minStallDuration }
 
-// saturated reports whether the engine does not keep up, or is about not to.
+// saturated reports whether the engine processes events more slowly than they arrive, or is close to that.
 func (l EngineLoad) saturated() bool {
 	return l.stalled() || l.Utilization >= minSaturatedUtilization
 }
 
-// engineState is the state of the engine that all destinations share.
+// engineState is the state of the engine, which all destinations share.
 type engineState struct {
-	load           EngineLoad
-	blocked        int  // messages in flight to failing destinations, which do not wait for the engine
-	saturatedSince Time // valid while the load is saturated
+	load              EngineLoad
+	inFlightToFailing int  // messages in flight to failing destinations; they do not wait for the engine
+	saturatedSince    Time // valid while the load is saturated
 
 	sampleStart Time
-	deliveries  int     // in the sample
-	perSecond   float64 // messages a second that the node delivers; 0 before the first sample since it is saturated
+	deliveries  int     // in the sample in progress
+	perSecond   float64 // messages a second delivered by the node; 0 before the first complete sample
 
 	retries retryPacer
 }
 
-// SetEngineLoad sets how the engine keeps up.
+// SetEngineLoad sets the current load of the engine.
 func (c *Controller) SetEngineLoad(now Time, load EngineLoad) {
 	e := &c.engine
 	if load.saturated() && !e.load.saturated() {
-		// What was delivered before followed what arrived: it is no measure of what can be delivered.
+		// Deliveries before the saturation were limited by arrivals and do not show the rate that the engine can
+		// reach.
 		e.saturatedSince, e.sampleStart, e.deliveries, e.perSecond = now, now, 0, 0
 	}
 	e.load = load
@@ -58,7 +59,7 @@
 func (e *engineState) observeDelivery(now Time) {
 	e.deliveries++
 	duration := now - e.sampleStart
-	if duration < nodeSample {
+	if duration < nodeSampleDuration {
 		return
 	}
 	sample := float64(e.deliveries) / duration.Seconds()
@@ -69,8 +70,8 @@
 	e.sampleStart, e.deliveries = now, 0
 }
 
-// rate returns the rate at which the node delivers, in messages a second: 0 where it is not known. Before the first
-// complete sample it is that of the sample in progress, from minSample on.
+// rate returns the delivery rate of the node in messages a second, or 0 if it is unknown. Before the first complete
+// sample it is the rate of the sample in progress, once that has lasted minSample.
 func (e *engineState) rate(now Time) float64 {
 	if duration := now - e.sampleStart; e.perSecond == 0 && duration >= minSample {
 		return float64(e.deliveries) / duration.Seconds()
@@ -78,10 +79,10 @@
 	return e.perSecond
 }
 
-// expectedWait returns how long one more message waits for the engine while the node has so many in flight: 0 while
-// the engine keeps up, and longer than any message may wait while it is stalled. While it is saturated the messages of
-// destinations that do not fail wait for it, at the rate at which the node delivers. Without a known rate the
-// saturation is expected to last as long again.
+// expectedWait returns how long a further message waits for the engine, given the number of messages in flight. It is
+// 0 unless the engine is saturated, and stalledWait while it is stalled. Otherwise the messages of destinations that
+// do not fail wait for the engine, at the delivery rate of the node. If the rate is unknown, the saturation is
+// expected to last for as long as it has lasted so far.
 func (e *engineState) expectedWait(now Time, inFlight int) time.Duration {
 	if !e.load.saturated() {
 		return 0
@@ -93,11 +94,11 @@
 	if rate == 0 {
 		return e.load.Lag + now - e.saturatedSince
 	}
-	return e.load.Lag + seconds(float64(inFlight-e.blocked)/rate)
+	return e.load.Lag + durationFromSeconds(float64(inFlight-e.inFlightToFailing)/rate)
 }
 
-// retryAfter returns the delay for a client whose message would wait for the engine for longer than it may, by
-// excess. A stall is expected to last as long again.
+// retryAfter returns the delay for a client whose message would wait for the engine for longer than allowed by
+// excess. A stall is expected to last for as long as it has lasted so far.
 func (e *engineState) retryAfter(now Time, excess time.Duration) time.Duration {
 	if e.load.stalled() {
 		excess = e.load.Lag
--- a/decide/admission/engineload_test.go
+++ b/decide/admission/engineload_test.go
@@ -7,13 +7,13 @@
 	"wingmount/policy"
 )
 
-// backlog is an engine on virtual time that delivers so many messages in each round, in the order in which they were
-// accepted.
-type backlog struct {
+// simulatedEngine is an engine on virtual time that delivers a limited number of messages in each round, in order of
+// acceptance.
+type simulatedEngine struct {
 	c         *Controller
 	waiting   []waitingMessage
 	admitted  int
-	expired   int // accepted, and past their deadline
+	expired   int // accepted, but past their deadline before delivery
 	delivered int
 }
 
@@ -22,26 +22,27 @@
 	deadline    Time
 }
 
-// round ends a round: it completes messages that are delivered or past their deadline.
-func (b *backlog) round(now Time, capacity int) {
-	for ; len(b.waiting) > 0 && (capacity > 0 || b.waiting[0].deadline <= now); b.waiting = b.waiting[1:] {
-		p := b.waiting[0]
-		late := p.deadline <= now
-		if late {
-			b.expired++
+// endRound completes the messages that are delivered in a round or past their deadline at its end.
+func (e *simulatedEngine) endRound(now Time, capacity int) {
+	for ; len(e.waiting) > 0 && (capacity > 0 || e.waiting[0].deadline <= now); e.waiting = e.waiting[1:] {
+		p := e.waiting[0]
+		expired := p.deadline <= now
+		if expired {
+			e.expired++
 		} else {
 			capacity--
-			b.delivered++
-			b.c.Observe(now, Observation{Kind: CallStarted, Destination: p.destination})
-			b.c.Observe(now, Observation{Kind: CallCompleted, Destination: p.destination, Outcome: policy.Delivered, Duration: time.Millisecond})
+			e.delivered++
+			e.c.Observe(now, Observation{Kind: CallStarted, Destination: p.destination})
+			e.c.Observe(now, Observation{Kind: CallCompleted, Destination: p.destination, Outcome: policy.Delivered, Duration: time.Millisecond})
 		}
-		b.c.Observe(now, Observation{Kind: MessageCompleted, Destination: p.destination})
+		e.c.Observe(now, Observation{Kind: MessageCompleted, Destination: p.destination})
 	}
 }
 
-// An engine is offered more than it can do, for many destinations none of which is slow: messages are rejected before
-// they are accepted, with a retry delay; no accepted one expires; and the engine's capacity is used.
-func TestSaturatedEngine(t *testing.T) {
+// The engine is offered more messages than it can process, for many destinations of which none is slow. Messages must
+// be rejected with a retry delay before they are accepted, no accepted message may expire, and the capacity of the
+// engine must be used.
+func TestSaturatedEngineRejectsInsteadOfExpiring(t *testing.T) {
 	const (
 		offered      = 2400 // messages a second
 		destinations = 1000
@@ -53,63 +54,63 @@
 		capacity int // messages a round
 	}{{50 * time.Millisecond, 5}, {50 * time.Millisecond, 50}, {100 * time.Millisecond, 25}, {400 * time.Millisecond, 100}, {450 * time.Millisecond, 256}} {
 		t.Run(fmt.Sprintf("%d in %v", engine.capacity, engine.round), func(t *testing.T) {
-			b := &backlog{c: New(Settings{Weights: []float64{1}})}
+			e := &simulatedEngine{c: New(Settings{Weights: []float64{1}})}
 			rejected, saturated, offeredAt := 0, Reason(0), Time(0)
-			for began := Time(0); began < duration+deadline; began += engine.round {
-				for ; offeredAt < min(began+engine.round, duration); offeredAt += time.Second / offered {
-					b.c.SetEngineLoad(offeredAt, EngineLoad{Lag: offeredAt - began, Utilization: min(1, offeredAt.Seconds()*4)})
-					i := b.admitted + rejected
-					d := b.c.Admit(offeredAt, i%destinations, 0, deadline)
+			for roundStart := Time(0); roundStart < duration+deadline; roundStart += engine.round {
+				for ; offeredAt < min(roundStart+engine.round, duration); offeredAt += time.Second / offered {
+					e.c.SetEngineLoad(offeredAt, EngineLoad{Lag: offeredAt - roundStart, Utilization: min(1, offeredAt.Seconds()*4)})
+					i := e.admitted + rejected
+					d := e.c.Admit(offeredAt, i%destinations, 0, deadline)
 					if d.Reason == Admitted {
-						b.admitted++
-						b.waiting = append(b.waiting, waitingMessage{i % destinations, offeredAt + deadline})
+						e.admitted++
+						e.waiting = append(e.waiting, waitingMessage{i % destinations, offeredAt + deadline})
 						continue
 					}
 					rejected++
 					saturated += d.Reason / Saturated
 					if d.Reason != Saturated && d.Reason != TooLate || d.RetryAfter < minRetryAfter || d.RetryAfter > MaxRetryAfter {
-						t.Fatalf("at %v: got %v, retry after %v", offeredAt, d.Reason, d.RetryAfter)
+						t.Fatalf("at %v: got %v, retry after %v, want Saturated or TooLate with a delay within its limits", offeredAt, d.Reason, d.RetryAfter)
 					}
 				}
-				b.round(began+engine.round, engine.capacity)
+				e.endRound(roundStart+engine.round, engine.capacity)
 			}
 			capacity := float64(engine.capacity) / engine.round.Seconds()
-			t.Logf("of %d: %d accepted, %d rejected (%d as saturated), %d delivered of %.0f, %d expired", b.admitted+rejected, b.admitted, rejected, saturated, b.delivered, capacity*duration.Seconds(), b.expired)
-			if b.expired > 0 {
-				t.Errorf("got %d accepted messages expired, want none", b.expired)
+			t.Logf("of %d: %d accepted, %d rejected (%d as saturated), %d delivered of %.0f, %d expired", e.admitted+rejected, e.admitted, rejected, saturated, e.delivered, capacity*duration.Seconds(), e.expired)
+			if e.expired > 0 {
+				t.Errorf("got %d accepted messages expired, want none", e.expired)
 			}
-			if saturated == 0 || float64(b.delivered) < 0.9*min(capacity, offered)*duration.Seconds() {
-				t.Errorf("got %d rejected, %d delivered", rejected, b.delivered)
+			if saturated == 0 || float64(e.delivered) < 0.9*min(capacity, offered)*duration.Seconds() {
+				t.Errorf("got %d messages rejected as saturated, %d rejected in total, %d delivered, want some saturated and 90%% of the capacity delivered", saturated, rejected, e.delivered)
 			}
-			if b.c.InFlight() != 0 || b.c.engine.blocked != 0 {
-				t.Errorf("got %d in flight, %d of them blocked, want none", b.c.InFlight(), b.c.engine.blocked)
+			if e.c.InFlight() != 0 || e.c.engine.inFlightToFailing != 0 {
+				t.Errorf("got %d messages in flight, %d of them to failing destinations, want none", e.c.InFlight(), e.c.engine.inFlightToFailing)
 			}
 		})
 	}
 }
 
-// A stalled engine accepts nothing, and accepts again once it continues. A busy one with little to do accepts
-// everything, and so does one whose messages wait for a failing destination.
-func TestStalledEngine(t *testing.T) {
+// A stalled engine must accept no messages until it continues. A saturated engine with few messages must accept all,
+// also if many messages wait for a failing destination.
+func TestStalledEngineRejectsUntilItContinues(t *testing.T) {
 	c := New(Settings{Weights: []float64{1}})
 	admit := func(now Time) Decision { return c.Admit(now, 1, 0, 20*time.Second) }
 	if d := admit(0); d.Reason != Admitted {
-		t.Fatalf("an idle engine: got %v, want Admitted", d)
+		t.Fatalf("idle engine: got %v, want Admitted", d)
 	}
-	c.SetEngineLoad(time.Second, EngineLoad{Lag: minStall - 1, Utilization: 0.5})
+	c.SetEngineLoad(time.Second, EngineLoad{Lag: minStallDuration - 1, Utilization: 0.5})
 	if d := admit(time.Second); d.Reason != Admitted {
-		t.Errorf("before it counts as a stall: got %v, want Admitted", d)
+		t.Errorf("round shorter than a stall: got %v, want Admitted", d)
 	}
 	c.SetEngineLoad(time.Second, EngineLoad{Lag: 3 * time.Second, Utilization: 1})
 	first, second := admit(time.Second), admit(time.Second)
 	if first.Reason != Saturated || first.RetryAfter != 3*time.Second || second.RetryAfter < first.RetryAfter {
-		t.Errorf("a stall of 3s: got %v, %v, want Saturated with 3s or more", first, second)
+		t.Errorf("stall of 3s: got %v, %v, want Saturated with delays of 3s or more", first, second)
 	}
 	c.SetEngineLoad(2*time.Second, EngineLoad{Utilization: 1})
 	if d := admit(2 * time.Second); d.Reason != Admitted {
 		t.Errorf("after the stall: got %v, want Admitted", d)
 	}
-	// 2,000 messages for a failing destination, and 5 deliveries a second for another.
+	// 2,000 messages wait for a failing destination, and another destination has 5 deliveries a second.
 	c.Observe(2*time.Second, Observation{Kind: CallStarted, Destination: 2})
 	c.Observe(2*time.Second, Observation{Kind: CallCompleted, Destination: 2, Outcome: policy.Failed})
 	for range 2000 {
--- a/decide/admission/rate.go
+++ b/decide/admission/rate.go
@@ -6,31 +6,33 @@
 )
 
 const (
-	// minSample and maxSample bound the duration of a rate sample.
+	// minSample and maxSample are the limits of the duration of a rate sample.
 	minSample = 100 * time.Millisecond
 	maxSample = 2 * time.Second
-	// minFirstDeliveries and minDeliveries are how many deliveries a sample needs that is shorter than maxSample.
-	minFirstDeliveries = 3 // while no rate is known
+	// minFirstDeliveries and minDeliveries are the numbers of deliveries that a sample needs to complete before
+	// maxSample.
+	minFirstDeliveries = 3 // until a rate is known
 	minDeliveries      = 8
-	// A rate that rises is followed faster than one that falls.
+	// riseGain and fallGain are the weights of a new sample. The average follows a rising rate faster than a falling
+	// one.
 	riseGain, fallGain = 0.5, 0.25
 	// admittedRateWindow is the time constant over which the rate of admitted messages is averaged.
 	admittedRateWindow = 2 * time.Second
 )
 
-// deliveryRate measures the rate at which a destination accepts calls. It samples while messages wait, since without
-// a backlog deliveries follow what arrives.
+// deliveryRate measures the rate at which a destination accepts calls. It samples only while messages wait, since
+// without a backlog the delivery rate equals the arrival rate.
 type deliveryRate struct {
 	perSecond float64 // messages a second; 0 before the first sample
-	updatedAt Time    // when the last sample was complete
+	updatedAt Time    // completion time of the last sample
 
 	sampling    bool // a sample is in progress
 	sampleStart Time
-	deliveries  int // in the sample
+	deliveries  int // in the sample in progress
 }
 
-// setBacklog begins a sample when messages begin to wait, and ends it when none does: what was delivered meanwhile is
-// a lower bound of the rate.
+// setBacklog starts a sample when messages begin to wait, and ends it when none waits any longer. The delivery rate
+// of a sample that ends in this way is a lower bound of the rate.
 func (r *deliveryRate) setBacklog(now Time, waiting bool) {
 	switch {
 	case waiting && !r.sampling:
@@ -46,11 +48,11 @@
 	}
 }
 
-// restartSample drops the sample in progress and begins another.
+// restartSample discards the sample in progress and starts another.
 func (r *deliveryRate) restartSample(now Time) { r.sampleStart, r.deliveries = now, 0 }
 
-// observeDelivery adds a delivery to the sample in progress, and the sample to the rate once it is complete. known
-// reports whether a rate is known: the first sample needs fewer deliveries, and is not averaged.
+// observeDelivery adds a delivery to the sample in progress and, once the sample is complete, the sample to the rate.
+// known reports whether a rate is known: the first sample needs fewer deliveries and is not averaged.
 func (r *deliveryRate) observeDelivery(now Time, known bool) {
 	if !r.sampling {
 		return
@@ -90,13 +92,13 @@
 	return a.count / admittedRateWindow.Seconds()
 }
 
-// add counts one message.
+// add counts one admitted message.
 func (a *admittedRate) add(now Time) {
 	a.perSecond(now) // decays the count
 	a.count++
 }
 
-// seconds returns a duration of so many seconds, one hour at most.
-func seconds(s float64) time.Duration {
+// durationFromSeconds converts seconds to a Duration of at most one hour.
+func durationFromSeconds(s float64) time.Duration {
 	return time.Duration(min(s, time.Hour.Seconds()) * float64(time.Second))
 }
--- a/decide/admission/retry.go
+++ b/decide/admission/retry.go
@@ -3,28 +3,28 @@
 import "time"
 
 const (
-	// minRetryAfter is the shortest delay that a client is given.
+	// minRetryAfter is the shortest delay returned to a client.
 	minRetryAfter = 100 * time.Millisecond
-	// MaxRetryAfter is the longest delay that a client is given.
+	// MaxRetryAfter is the longest delay returned to a client.
 	MaxRetryAfter = 30 * time.Second
-	// defaultRetryAfter is the delay where no rate is known.
+	// defaultRetryAfter is the delay if no rate is known.
 	defaultRetryAfter = time.Second
 )
 
-// retryPacer spreads the times at which rejected clients come back.
+// retryPacer spaces the times at which rejected clients retry.
 type retryPacer struct {
-	last Time // the last time that a client was given
+	last Time // the retry time returned to the previous client
 }
 
-// next returns the delay for one more client.
+// next returns the delay for a further client.
 //
-// Inputs: the earliest time at which its message can be admitted, from now, and the rate at which messages complete,
-// in messages a second, 0 where it is not known. Each client comes one message after the client before it, within
-// minRetryAfter and MaxRetryAfter: clients that came back together would be rejected again.
+// earliest is the delay until its message can be admitted. rate is the rate at which messages complete, in messages a
+// second, or 0 if it is unknown. Retries are spaced by the time of one message, with delays from minRetryAfter to
+// MaxRetryAfter: clients that retry at the same time would be rejected again.
 func (p *retryPacer) next(now Time, earliest time.Duration, rate float64) time.Duration {
 	gap := time.Duration(0)
 	if rate > 0 {
-		gap = seconds(1 / rate)
+		gap = durationFromSeconds(1 / rate)
 	}
 	p.last = min(max(now+earliest, p.last+gap), now+MaxRetryAfter)
 	return max(minRetryAfter, p.last-now)
--- a/decide/admission/rules.go
+++ b/decide/admission/rules.go
@@ -3,29 +3,30 @@
 import "time"
 
 const (
-	// CapacityFactor is how many times the free capacity the highest class of one destination may use: with n
-	// destinations that are flooded, each other one finds Capacity/(1+n*CapacityFactor) places.
+	// CapacityFactor is the multiple of the free capacity that one destination may use with messages of the highest
+	// weight. If n destinations are overloaded, Capacity/(1+n*CapacityFactor) places stay free for the others.
 	CapacityFactor = 8
-	// minCapacityFactorFraction is the fraction of CapacityFactor that the lowest class has.
+	// minCapacityFactorFraction is the smallest fraction of CapacityFactor that applies to a class.
 	minCapacityFactorFraction = 1.0 / 16
-	// MaxWaitFraction is the fraction of its time left that a message may be expected to wait. The rest is for rates
-	// that fall, for calls that fail, and for the call itself.
+	// MaxWaitFraction is the maximum expected wait as a fraction of the time until the deadline. The remainder allows
+	// for falling rates, failing calls and the call itself.
 	MaxWaitFraction = 0.5
-	// minCallsLeft is how many mean call durations a message must have left when its turn comes.
+	// minCallsLeft is the time that must remain when a message is sent, in mean call durations.
 	minCallsLeft = 4
-	// minRateFraction is the fraction of a rate that each class keeps, whatever is admitted of higher priority.
+	// minRateFraction is the fraction of a rate that is available to each class, regardless of the admitted messages
+	// of higher weight.
 	minRateFraction = 1.0 / 16
-	// minTrialMessages is how many messages a destination in an outage may have in flight: without one to send,
-	// nobody would find out that the outage is over.
+	// minTrialMessages is the number of messages that a destination in an outage may have in flight: without a
+	// message to send, the node would not detect the end of the outage.
 	minTrialMessages = 4
 )
 
-// checkSaturation rejects a message that the engine would not reach in time.
+// checkSaturation rejects a message that the engine would not process in time.
 //
-// Inputs: the expected wait for the engine (see engineState.expectedWait) and the time left until the deadline. A
-// message is rejected if it would wait for more than MaxWaitFraction of its time left.
+// The inputs are the expected wait for the engine (see engineState.expectedWait) and the time until the deadline. A
+// message is rejected if its expected wait exceeds MaxWaitFraction of that time.
 //
-// What one engine cannot carry out is accepted for nothing, whichever its destination is.
+// A message that the engine cannot process in time would be accepted only to expire, regardless of its destination.
 func (c *Controller) checkSaturation(now Time, timeLeft time.Duration) Decision {
 	wait, maxWait := c.engine.expectedWait(now, c.inFlight), MaxWaitFraction*float64(timeLeft)
 	if float64(wait) <= maxWait {
@@ -34,13 +35,13 @@
 	return Decision{Saturated, c.engine.retryAfter(now, wait-time.Duration(maxWait))}
 }
 
-// checkCapacity rejects a message whose destination uses its part of the capacity.
+// checkCapacity rejects a message whose destination already uses its share of the capacity.
 //
-// Inputs: messages in flight, in all and of the destination, and the priority weight of the class. A destination may
-// have as many messages as its class's factor times the free capacity: CapacityFactor for the class of the highest
-// weight, less in proportion for others.
+// The inputs are the numbers of messages in flight, in total and of the destination, and the priority weight of the
+// class. The messages of a destination may reach the factor of the class times the free capacity. The factor is
+// CapacityFactor for the class of the highest weight, and proportionally less for others.
 //
-// The part shrinks as the capacity fills, so a destination that is flooded leaves room for the others.
+// The share shrinks as the capacity is used up, so an overloaded destination leaves capacity for the others.
 func (c *Controller) checkCapacity(now Time, d *destination, class int) Decision {
 	if c.capacity <= 0 {
 		return Decision{}
@@ -52,19 +53,19 @@
 	}
 	earliest, rate := defaultRetryAfter, d.knownRate(now)
 	if rate > 0 {
-		earliest = seconds(max(1, excess) / rate)
+		earliest = durationFromSeconds(max(1, excess) / rate)
 	}
 	return Decision{NoCapacity, d.retries.next(now, earliest, rate)}
 }
 
-// checkDeadline rejects a message that its destination would not reach in time.
+// checkDeadline rejects a message that its destination would not accept in time.
 //
-// Inputs: the expected wait (see expectedWait), the time left until the deadline, and the mean duration of a call. A
-// message is rejected if it would wait for more than MaxWaitFraction of its time left, or would have less than
-// minCallsLeft calls left. A destination whose calls fail keeps minTrialMessages, if its Retry-After allows one of
-// them to be sent in time.
+// The inputs are the expected wait (see expectedWait), the time until the deadline and the mean call duration. A
+// message is rejected if its expected wait exceeds MaxWaitFraction of that time, or if less than minCallsLeft mean
+// call durations would remain. A failing destination may still have minTrialMessages in flight, if its Retry-After
+// ends early enough to send one of them in time.
 //
-// A message that expires in the queue costs storage and memory, and its client learns of it late.
+// A message that expires in the queue costs storage and memory, and its client receives the failure late.
 func (c *Controller) checkDeadline(now Time, d *destination, class int, timeLeft time.Duration) Decision {
 	wait, rate := c.expectedWait(now, d, class)
 	maxWait := min(time.Duration(MaxWaitFraction*float64(timeLeft)), timeLeft-minCallsLeft*d.meanCallDuration)
@@ -75,11 +76,11 @@
 	return Decision{TooLate, d.retries.next(now, wait-maxWait, rate)}
 }
 
-// expectedWait returns how long a message of a class waits for its turn at a destination, and the rate at which
-// messages like it are delivered, in messages a second: 0 where that is not known.
+// expectedWait returns how long a message of a class waits at a destination before it is sent, and the rate at which
+// messages of that class are delivered, in messages a second, or 0 if that is unknown.
 //
-// It waits for the end of an outage, and for the messages of at least its weight that are in flight, at the
-// destination's rate less the rate at which messages of higher weight are admitted.
+// The message waits for the end of an outage, and for the messages in flight that have at least its weight. Those are
+// delivered at the rate of the destination less the rate at which messages of higher weight are admitted.
 func (c *Controller) expectedWait(now Time, d *destination, class int) (time.Duration, float64) {
 	outage, rate := d.expectedOutage(now), d.knownRate(now)
 	if rate == 0 {
@@ -95,5 +96,5 @@
 		}
 	}
 	rate = max(rate-higherRate, minRateFraction*rate)
-	return outage + seconds(float64(ahead)/rate), rate
+	return outage + durationFromSeconds(float64(ahead)/rate), rate
 }
