--- a/decide/placement/chain.go
+++ b/decide/placement/chain.go
@@ -5,8 +5,8 @@
 // maxChainAttempts limits how many pairs of slots are examined in one call of moveInChains.
 const maxChainAttempts = 1 << 16
 
-// chainMover relieves an overloaded node by chains of two moves, where no single move can: an intermediate node gives
-// one of its slots to a third node and then receives one from the overloaded node.
+// chainMover moves slots away from overloaded nodes by chains of two moves, if no single move is possible: an
+// intermediate node gives one of its slots to a third node and then receives one from the overloaded node.
 type chainMover struct {
 	*builder
 	slotsByNode  map[nodeIndex][]ownedSlot
