--- a/decide/evidence/assess.go
+++ b/decide/evidence/assess.go
@@ -2,52 +2,57 @@
 
 import "time"
 
-// Weights that decide.
+// Weight thresholds of an assessment.
 const (
-	// minCountedWeight is the least weight with which a peer's report counts.
+	// minCountedWeight is the minimum weight of a peer whose reports count.
 	minCountedWeight = 1.0 / 8
-	// quorumWeight is what a quorum must weigh for each of its peers: one of three may have been wrong lately. One peer
-	// of this weight is enough to show that an endpoint is back.
+	// quorumWeight is the weight that the peers that report failures must have in total for each peer of a quorum. It
+	// is below initialWeight, so that a quorum of three suffices even if one of its peers was recently wrong. A
+	// single peer of this weight is enough to show that an endpoint has recovered.
 	quorumWeight = 3.0 / 8
-	// downToUpRatio is how much heavier the peers that saw it failing must be than those that saw it succeed.
+	// downToUpRatio is the factor by which the total weight of peers that report failures must exceed that of peers
+	// that report successes.
 	downToUpRatio = 2
 )
 
-// Bounds of a quorum.
+// Limits of the quorum size.
 const (
 	minQuorum = 2
-	// maxQuorum bounds the quorum, since in a large cluster a node hears some tens of peers while reports count.
+	// maxQuorum limits the quorum because a node in a large cluster receives reports from only some tens of peers
+	// within MaxAge.
 	maxQuorum = 16
-	// quorumDivisor makes a quorum more than a quarter of the other members.
+	// quorumDivisor makes the quorum more than a quarter of the other members.
 	quorumDivisor = 4
 )
 
-// Quorum returns how many peers must have seen an endpoint failing, of so many members with this node: more than a
-// quarter of the others, never a single one, and 16 at most.
+// Quorum returns how many peers must report failures of an endpoint in a cluster of the given number of members, this
+// node included. It is more than a quarter of the others, at least 2 and at most 16.
 func Quorum(members int) int { return min(maxQuorum, max(minQuorum, (members-1)/quorumDivisor+1)) }
 
-// Assessment is what to do about an endpoint.
+// Assessment is the evaluator's judgment of an endpoint.
 type Assessment struct {
 	Suspected  bool
-	Share      float64       // Settings.Share under a suspicion, else 1; decide/gossip does not use it
-	TrialEvery time.Duration // interval of probes at most, where it is suspected
-	// Down and Up are the weights of the peers that saw it failing after the last success, and succeeding.
+	Share      float64       // Settings.Share if suspected, else 1; decide/gossip does not use it
+	TrialEvery time.Duration // maximum interval between probes; set only if suspected
+	// Down is the total weight of the peers that reported failures after the last success, and Up that of the peers
+	// that reported successes.
 	Down, Up float64
-	Peers    int // that saw it failing, and whose reports count
+	Peers    int // number of peers included in Down
 }
 
-// Assess returns what to do about an endpoint now. It is suspected if a quorum of peers in this availability zone saw it
-// failing after the last success, they are heavy enough by themselves and against those that saw it succeed, and no
-// recent call of this node succeeded. Fewer reports, or an own success, leave the rate as it is.
+// Assess assesses an endpoint. The endpoint is suspected if a quorum of peers in this availability zone reported
+// failures after the last reported success, their total weight is sufficient both by itself and against the peers
+// that reported successes, and no recent call of this node succeeded. With fewer reports, or after a success of this
+// node, Share stays 1.
 func (v *Evaluator) Assess(now time.Duration, id Endpoint) Assessment {
 	assessment := Assessment{Share: 1}
-	of := v.endpoints[id]
-	if of == nil {
+	e := v.endpoints[id]
+	if e == nil {
 		return assessment
 	}
-	succeeded := v.lastSuccess(now, of)
-	for _, r := range of.reports {
-		if !v.counts(now, r) {
+	succeeded := v.lastSuccess(now, e)
+	for _, r := range e.reports {
+		if !v.isRelevant(now, r) {
 			continue
 		}
 		weight := v.reputationAt(now, r.Peer).weight
@@ -62,52 +67,55 @@
 	}
 	quorum := Quorum(len(v.members) + 1)
 	heavyEnough := assessment.Down >= float64(quorum)*quorumWeight && assessment.Down > downToUpRatio*assessment.Up
-	if !v.succeededLately(now, of) && assessment.Peers >= quorum && heavyEnough {
+	if !v.succeededRecently(now, e) && assessment.Peers >= quorum && heavyEnough {
 		assessment.Suspected, assessment.Share, assessment.TrialEvery = true, v.settings.Share, v.settings.TrialEvery
 	}
 	return assessment
 }
 
-// counts reports whether a report is of this node's availability zone and recent.
-func (v *Evaluator) counts(now time.Duration, r *storedReport) bool {
+// isRelevant reports whether a report is from this node's availability zone and no older than MaxAge.
+func (v *Evaluator) isRelevant(now time.Duration, r *storedReport) bool {
 	return r.Zone == v.settings.Zone && now-r.To <= v.settings.MaxAge
 }
 
-// succeededLately reports whether this node's last call succeeded, within OwnTime.
-func (v *Evaluator) succeededLately(now time.Duration, of *endpoint) bool {
-	return of.succeeded.observed && now-of.succeeded.at <= v.settings.OwnTime && of.lastCallSucceeded()
+// succeededRecently reports whether this node's last call succeeded and ended within OwnSuccessTime.
+func (v *Evaluator) succeededRecently(now time.Duration, e *endpoint) bool {
+	return e.succeeded.observed && now-e.succeeded.at <= v.settings.OwnSuccessTime && e.lastCallSucceeded()
 }
 
-// lastCallSucceeded reports whether this node's last call succeeded, provided that one did.
+// lastCallSucceeded reports whether this node's last call succeeded. Its result is valid only if at least one call
+// has succeeded.
 func (e *endpoint) lastCallSucceeded() bool {
 	return !e.failed.observed || e.succeeded.at >= e.failed.at
 }
 
-// Recovered reports whether an endpoint is back: this node's own last call failed, or it is suspected, and a peer of
-// enough weight saw it succeed after that and after the last failure that others saw. One peer is enough, since
-// what follows is a call within the recovery ramp: a peer that lies loses its weight by that call.
+// Recovered reports whether an endpoint has recovered: a peer of at least quorumWeight reported a success that is
+// later than this node's last failure and the last failure that peers reported. It returns false if this node's own
+// last call succeeded after an earlier failure. Package decide/gossip uses it only for endpoints that it suspects or
+// that fail for this node. A single peer is enough because only a call at the rate of slow start follows, and a false
+// report costs the peer weight through that call.
 func (v *Evaluator) Recovered(now time.Duration, id Endpoint) bool {
-	of := v.endpoints[id]
-	if of == nil || of.succeeded.observed && of.failed.observed && of.succeeded.at >= of.failed.at {
+	e := v.endpoints[id]
+	if e == nil || e.succeeded.observed && e.failed.observed && e.succeeded.at >= e.failed.at {
 		return false
 	}
-	succeeded, failed := v.lastSuccess(now, of), time.Duration(0)
-	for _, r := range of.reports {
-		if v.counts(now, r) && r.down() && v.reputationAt(now, r.Peer).weight >= minCountedWeight {
+	succeeded, failed := v.lastSuccess(now, e), time.Duration(0)
+	for _, r := range e.reports {
+		if v.isRelevant(now, r) && r.down() && v.reputationAt(now, r.Peer).weight >= minCountedWeight {
 			failed = max(failed, r.To)
 		}
 	}
-	if of.failed.observed {
-		failed = max(failed, of.failed.at)
+	if e.failed.observed {
+		failed = max(failed, e.failed.at)
 	}
 	return failed > 0 && succeeded > failed
 }
 
-// lastSuccess returns when a peer of enough weight last saw an endpoint succeed, 0 where none did lately. Failures
-// before then are outdated.
-func (v *Evaluator) lastSuccess(now time.Duration, of *endpoint) (at time.Duration) {
-	for _, r := range of.reports {
-		if v.counts(now, r) && !r.down() && v.reputationAt(now, r.Peer).weight >= quorumWeight {
+// lastSuccess returns the time of the last success that a peer of at least quorumWeight reported, or 0 if there is no
+// recent report. Failures before that time are outdated.
+func (v *Evaluator) lastSuccess(now time.Duration, e *endpoint) (at time.Duration) {
+	for _, r := range e.reports {
+		if v.isRelevant(now, r) && !r.down() && v.reputationAt(now, r.Peer).weight >= quorumWeight {
 			at = max(at, r.To)
 		}
 	}
--- a/decide/evidence/evidence.go
+++ b/decide/evidence/evidence.go
@@ -1,15 +1,17 @@
-// Package evidence weighs what peers report of partners' endpoints against what this node observed itself. It does
+// Package evidence weighs peers' reports on partners' endpoints against the results of this node's own calls. It does
 // no I/O, reads no clock, draws no random numbers and starts no goroutines.
 //
-// It promises, whatever peers send:
-//   - fewer peers than a quorum, see [Quorum], never change how fast this node sends to an endpoint;
-//   - while this node's own last call succeeded, and within [Settings].OwnTime of it, no number of peers does;
-//   - a suspicion is only reported: package decide/gossip makes it an effect, and the caller decides what that does.
-//     Package policy opens the circuit of the endpoint, unless a call succeeded just before, and sends probes only;
-//   - its memory is bounded by [Settings].
+// It guarantees, whatever peers send:
+//   - fewer peers than a quorum, see [Quorum], never change the rate at which this node sends to an endpoint;
+//   - no number of peers changes that rate while this node's last call succeeded and ended within
+//     [Settings].OwnSuccessTime;
+//   - a suspicion is only reported: package decide/gossip turns it into an effect, and the caller decides how to
+//     apply it. Package policy opens the endpoint's circuit unless a call succeeded just before, and sends only
+//     probes;
+//   - memory is bounded by [Settings].
 //
-// An [Evaluator] is not safe for concurrent use. Start reading at [Evaluator.Assess], which has the rule;
-// reputation.go has the weights of peers, and docs/design/gossip.md the design.
+// An [Evaluator] is not safe for concurrent use. Start reading at [Evaluator.Assess], which contains the rule.
+// reputation.go contains the weights of peers. The design is described in docs/design/gossip.md.
 package evidence
 
 import (
@@ -17,81 +19,82 @@
 	"time"
 )
 
-// Peer identifies another node. The caller has authenticated it.
+// Peer identifies another node. The caller must have authenticated it.
 type Peer uint32
 
-// Endpoint identifies an endpoint, by the same number at all nodes.
+// Endpoint identifies an endpoint. All nodes use the same number for it.
 type Endpoint uint64
 
-// Report is what a peer reports of its calls to an endpoint.
+// Report is a peer's summary of its recent calls to an endpoint.
 type Report struct {
 	Peer     Peer
 	Endpoint Endpoint
-	Zone     int           // availability zone from which it called
-	From, To time.Duration // the span in which the calls ended, by this node's clock
-	Calls    int           // that ended in the span; above 0
-	Failed   int           // of these
+	Zone     int           // availability zone of the peer
+	From, To time.Duration // interval in which the calls ended, by this node's clock
+	Calls    int           // calls that ended in the interval; above 0
+	Failed   int           // calls of these that failed
 }
 
 // down reports whether more than half of the calls failed.
 func (r Report) down() bool { return 2*r.Failed > r.Calls }
 
-// Settings are the bounds and times of an evaluator. Times are above 0.
+// Settings are the limits and durations of an evaluator. Durations must be positive.
 type Settings struct {
-	Zone           int           // availability zone of this node
-	MaxAge         time.Duration // reports of calls that ended earlier are ignored
-	Skew           time.Duration // by how much clocks may differ
-	OwnTime        time.Duration // how long this node's own successful call outweighs all peers
-	EvaluationTime time.Duration // how long after a report an own call may still confirm or refute it
-	Regain         time.Duration // in which a weight below the initial one regains half of the difference
-	Share          float64       // value of Assessment.Share under a suspicion, above 0 and below 1; decide/gossip does not use it
-	TrialEvery     time.Duration // interval of probes to a suspected endpoint, at most
-	MaxEndpoints   int           // of which reports are kept
-	MaxPeers       int           // members; weights are kept of twice as many peers
-	MaxClaims      int           // stored reports: the newest by peer and endpoint, shared evenly by the members
+	Zone             int           // availability zone of this node
+	MaxAge           time.Duration // reports on calls that ended longer ago are ignored
+	Skew             time.Duration // maximum difference between clocks
+	OwnSuccessTime   time.Duration // how long a successful call of this node overrides all peers
+	EvaluationWindow time.Duration // how long after a report a call of this node may still confirm or refute it
+	WeightHalfLife   time.Duration // time in which a weight below the initial weight regains half of the difference
+	Share            float64       // Assessment.Share of a suspected endpoint, above 0 and below 1; decide/gossip does not use it
+	TrialEvery       time.Duration // maximum interval between probes to a suspected endpoint
+	MaxEndpoints     int           // maximum number of endpoints with stored reports
+	MaxPeers         int           // maximum number of members; weights of twice as many peers are stored
+	MaxReports       int           // maximum number of stored reports, one per peer and endpoint; all members have equal quotas
 }
 
 // Defaults returns the settings of a node in an availability zone.
 func Defaults(zone int) Settings {
 	return Settings{
-		Zone: zone, MaxAge: 10 * time.Second, Skew: time.Second, OwnTime: 2 * time.Second, EvaluationTime: 2 * time.Second,
-		Regain: 10 * time.Minute, Share: 0.125, TrialEvery: time.Second, MaxEndpoints: 8192, MaxPeers: 1024, MaxClaims: 1 << 16,
+		Zone: zone, MaxAge: 10 * time.Second, Skew: time.Second, OwnSuccessTime: 2 * time.Second, EvaluationWindow: 2 * time.Second,
+		WeightHalfLife: 10 * time.Minute, Share: 0.125, TrialEvery: time.Second, MaxEndpoints: 8192, MaxPeers: 1024, MaxReports: 1 << 16,
 	}
 }
 
-// Errors of [Evaluator.Receive]. A report with one changes nothing.
+// Errors of [Evaluator.Receive]. A rejected report changes nothing.
 var (
-	ErrNotMember       = errors.New("the peer is no member")
-	ErrInvalid         = errors.New("the report is not valid")
-	ErrStale           = errors.New("the report is too old")
-	ErrFuture          = errors.New("the report is from the future")
-	ErrRepeated        = errors.New("the peer has sent this report before, or a newer one")
-	ErrFull            = errors.New("the peer has used its quota of reports")
-	ErrUnknownEndpoint = errors.New("there is no such endpoint")
+	ErrNotMember       = errors.New("report from a peer that is not a member")
+	ErrInvalid         = errors.New("invalid report")
+	ErrStale           = errors.New("report is older than the maximum age")
+	ErrFuture          = errors.New("report time is in the future")
+	ErrRepeated        = errors.New("report is not newer than the stored report of the peer")
+	ErrFull            = errors.New("report quota of the peer is exhausted")
+	ErrUnknownEndpoint = errors.New("report on an unknown endpoint")
 )
 
-// storedReport is the newest report of a peer on an endpoint.
+// storedReport is the latest report of a peer on an endpoint.
 type storedReport struct {
 	Report
-	// since is when the first ended of those reports in a row that agree and were not evaluated.
+	// since is the end of the first report in the current series of consecutive reports that agree and have not been
+	// evaluated.
 	since     time.Duration
-	evaluated bool // an own call has confirmed or refuted it
+	evaluated bool // a call of this node has confirmed or refuted it
 }
 
-// endpoint is what is known of an endpoint.
+// endpoint is the state of an endpoint.
 type endpoint struct {
 	reports   map[Peer]*storedReport
 	succeeded observation // this node's last successful call
 	failed    observation // this node's last failed call
 }
 
-// observation is when something was last observed, if it was.
+// observation is the time of the last observation of an event, if there was one.
 type observation struct {
 	at       time.Duration
 	observed bool
 }
 
-// Evaluator decides for one node.
+// Evaluator assesses endpoints for one node.
 type Evaluator struct {
 	settings  Settings
 	members   map[Peer]bool
@@ -104,7 +107,7 @@
 	return &Evaluator{settings: s, members: map[Peer]bool{}, peers: map[Peer]*reputation{}, endpoints: map[Endpoint]*endpoint{}}
 }
 
-// SetEndpoints sets which endpoints there are, MaxEndpoints of them at most. Reports on others are rejected.
+// SetEndpoints replaces the set of endpoints. Only the first MaxEndpoints are used. Reports on others are rejected.
 func (v *Evaluator) SetEndpoints(ids []Endpoint) {
 	previous := v.endpoints
 	v.endpoints = map[Endpoint]*endpoint{}
@@ -124,7 +127,7 @@
 	}
 }
 
-// Receive stores a report of a peer, or returns an error and changes nothing.
+// Receive stores a report of a peer. If it returns an error, the report is rejected and nothing changes.
 func (v *Evaluator) Receive(now time.Duration, r Report) error {
 	switch {
 	case !v.members[r.Peer]:
@@ -136,11 +139,11 @@
 	case r.To-now > v.settings.Skew:
 		return ErrFuture
 	}
-	of := v.endpoints[r.Endpoint]
-	if of == nil {
+	e := v.endpoints[r.Endpoint]
+	if e == nil {
 		return ErrUnknownEndpoint
 	}
-	previous := of.reports[r.Peer]
+	previous := e.reports[r.Peer]
 	switch {
 	case previous != nil && previous.To >= r.To:
 		return ErrRepeated
@@ -150,45 +153,47 @@
 		v.peers[r.Peer].reports++
 	}
 	next := &storedReport{Report: r, since: r.To}
-	// A peer that repeats a report is evaluated by the first: otherwise none would ever be old enough for it.
+	// Repeated reports are evaluated by the time of the first one. Otherwise a peer that reports continuously would
+	// never have a report that precedes a call of this node.
 	if previous != nil && !previous.evaluated && previous.down() == r.down() && previous.Zone == r.Zone {
 		next.since = previous.since
 	}
-	of.reports[r.Peer] = next
+	e.reports[r.Peer] = next
 	return nil
 }
 
-// hasQuota reports whether one more report of a peer may be stored. All members have the same quota, so that one that
-// reports on everything takes nothing from the others. Expired reports of the peer are deleted if that is needed.
+// hasQuota reports whether another report of a peer may be stored. All members have the same quota, so that a member
+// that reports on every endpoint does not reduce the quotas of the others. hasQuota deletes expired reports of the
+// peer if the quota is exhausted.
 func (v *Evaluator) hasQuota(now time.Duration, id Peer) bool {
-	quota := max(1, v.settings.MaxClaims/max(1, len(v.members)))
+	quota := max(1, v.settings.MaxReports/max(1, len(v.members)))
 	p := v.reputationAt(now, id)
 	if p.reports < quota {
 		return true
 	}
-	for _, of := range v.endpoints {
-		if r := of.reports[id]; r != nil && now-r.To > v.settings.MaxAge {
-			delete(of.reports, id)
+	for _, e := range v.endpoints {
+		if r := e.reports[id]; r != nil && now-r.To > v.settings.MaxAge {
+			delete(e.reports, id)
 			p.reports--
 		}
 	}
 	return p.reports < quota
 }
 
-// ObserveCall records how a call of this node ended, and evaluates by it what peers of its availability zone
-// reported of calls that ended shortly before this one began.
+// ObserveCall records the outcome of a call of this node. It uses the outcome to evaluate the reports of peers in
+// this availability zone on calls that ended shortly before this call began.
 func (v *Evaluator) ObserveCall(now time.Duration, id Endpoint, began time.Duration, succeeded bool) {
-	of := v.endpoints[id]
-	if of == nil {
+	e := v.endpoints[id]
+	if e == nil {
 		return
 	}
 	if succeeded {
-		of.succeeded = observation{now, true}
+		e.succeeded = observation{now, true}
 	} else {
-		of.failed = observation{now, true}
+		e.failed = observation{now, true}
 	}
-	for _, r := range of.reports {
-		if r.evaluated || r.Zone != v.settings.Zone || r.since > began || began-r.To > v.settings.EvaluationTime {
+	for _, r := range e.reports {
+		if r.evaluated || r.Zone != v.settings.Zone || r.since > began || began-r.To > v.settings.EvaluationWindow {
 			continue
 		}
 		r.evaluated = true
@@ -196,10 +201,10 @@
 	}
 }
 
-// Size returns how many endpoints, reports and weights are stored.
+// Size returns the number of stored endpoints, reports and peer weights.
 func (v *Evaluator) Size() (endpoints, reports, weights int) {
-	for _, of := range v.endpoints {
-		reports += len(of.reports)
+	for _, e := range v.endpoints {
+		reports += len(e.reports)
 	}
 	return len(v.endpoints), reports, len(v.peers)
 }
--- a/decide/evidence/evidence_test.go
+++ b/decide/evidence/evidence_test.go
@@ -72,13 +72,13 @@
 	if got := v.Assess(1100*ms, 1); got.Suspected || got.Share != 1 {
 		t.Errorf("an own call was succeeded: %+v", got)
 	}
-	for _, s := range v.Standings(1100 * ms)[:3] {
+	for _, s := range v.Reputations(1100 * ms)[:3] {
 		if s.Weight > 0.26 || s.Wrong != 1 || s.Right != 0 || !s.Member {
 			t.Errorf("%+v", s)
 		}
 	}
 	v.ObserveCall(1200*ms, 1, 1150*ms, true) // the same report is evaluated once
-	if w := v.Standings(1200 * ms)[0].Weight; w < 0.25 {
+	if w := v.Reputations(1200 * ms)[0].Weight; w < 0.25 {
 		t.Errorf("evaluated twice for one report: %v", w)
 	}
 	// Their evidence counts no more than half now, also once the own call is old.
@@ -144,7 +144,7 @@
 		t.Errorf("%+v", got)
 	}
 	v.ObserveCall(1100*ms, 1, 1050*ms, true)
-	for _, s := range v.Standings(1100 * ms) {
+	for _, s := range v.Reputations(1100 * ms) {
 		if s.Wrong > 0 {
 			t.Errorf("evaluated by another route: %+v", s)
 		}
@@ -160,7 +160,7 @@
 		now += 5 * second
 		receive(t, v, now, report(1, 1, now, down), nil)
 		v.ObserveCall(now+100*ms, 1, now+50*ms, succeeded)
-		return v.Standings(now)[0].Weight
+		return v.Reputations(now)[0].Weight
 	}
 	weight := 0.0
 	for range 720 {
@@ -170,7 +170,7 @@
 		t.Errorf("after an hour of truth %v", weight)
 	}
 	now += time.Hour
-	if w := v.Standings(now)[0].Weight; w != 1 {
+	if w := v.Reputations(now)[0].Weight; w != 1 {
 		t.Errorf("what it earned went by itself: %v", w)
 	}
 	lies := 0
@@ -188,18 +188,18 @@
 		t.Errorf("a steady liar weighs %v", weight)
 	}
 	now += 10 * time.Minute
-	if w := v.Standings(now)[0].Weight; w < 0.24 || w > 0.27 {
+	if w := v.Reputations(now)[0].Weight; w < 0.24 || w > 0.27 {
 		t.Errorf("ten minutes later it weighs %v", w)
 	}
 	now += 100 * time.Hour
-	if w := v.Standings(now)[0].Weight; w < 0.499 || w > 0.5 {
+	if w := v.Reputations(now)[0].Weight; w < 0.499 || w > 0.5 {
 		t.Errorf("days later it weighs %v", w)
 	}
 	// Leaving and coming back buys no trust.
 	weight = step(true, true)
 	v.SetMembers(now, []Peer{2, 3})
 	v.SetMembers(now, []Peer{1, 2, 3})
-	if w := v.Standings(now)[0].Weight; w != weight {
+	if w := v.Reputations(now)[0].Weight; w != weight {
 		t.Errorf("it left with %v and came back with %v", weight, w)
 	}
 }
@@ -207,7 +207,7 @@
 // A peer that reports on everything has its quota, and takes nothing from the others; all that is stored is bounded.
 func TestBounds(t *testing.T) {
 	s := Defaults(here)
-	s.MaxEndpoints, s.MaxPeers, s.MaxClaims = 50, 4, 40
+	s.MaxEndpoints, s.MaxPeers, s.MaxReports = 50, 4, 40
 	v := New(s)
 	var ids []Endpoint
 	for i := range 100 {
@@ -277,11 +277,11 @@
 					suspected++
 				}
 				at, ok := succeeded[id]
-				if got.Share <= 0 || got.Share < 1 && (got.TrialEvery <= 0 || belowQuorum || ok && now-at <= v.settings.OwnTime) {
+				if got.Share <= 0 || got.Share < 1 && (got.TrialEvery <= 0 || belowQuorum || ok && now-at <= v.settings.OwnSuccessTime) {
 					t.Fatalf("%d of %d others lie; the own call succeeded %v ago (%t): %+v", liars, others, now-at, ok, got)
 				}
 			}
-			for _, s := range v.Standings(now) {
+			for _, s := range v.Reputations(now) {
 				if s.Weight < minWeight || s.Weight > 1 {
 					t.Fatalf("%+v", s)
 				}
@@ -363,10 +363,10 @@
 		receive(t, v, at, report(5, 1, at, true), nil)
 		v.ObserveCall(at+2*ms, 1, at+ms, true)
 	}
-	had := v.Standings(10 * second)
+	had := v.Reputations(10 * second)
 	again := newEvaluator(9)
-	again.Restore(10*second, append(had, Standing{Peer: 99, Weight: 7}, Standing{Peer: 98}))
-	if got := again.Standings(10 * second); fmt.Sprint(got) != fmt.Sprint(had) {
+	again.Restore(10*second, append(had, PeerReputation{Peer: 99, Weight: 7}, PeerReputation{Peer: 98}))
+	if got := again.Reputations(10 * second); fmt.Sprint(got) != fmt.Sprint(had) {
 		t.Errorf("%+v, had %+v", got, had)
 	}
 }
--- a/decide/evidence/reputation.go
+++ b/decide/evidence/reputation.go
@@ -8,26 +8,26 @@
 	"time"
 )
 
-// Weights of peers. A peer that was right gains a step, one that was wrong loses half.
+// Weights of peers. A confirmed report adds a step to the weight, and a refuted one halves it.
 const (
 	initialWeight        = 0.5
 	maxWeight            = 1.0
 	minWeight            = 1.0 / 64
 	confirmedStep        = 1.0 / 16
 	refutedFactor        = 0.5
-	reputationsPerMember = 2 // weights are kept of so many times MaxPeers
+	reputationsPerMember = 2 // maximum number of stored weights, as a multiple of MaxPeers
 )
 
-// reputation is what is known of a peer: its weight, and how often it was right. [Standing] is its exported form;
-// operators see it as trust.
+// reputation is the weight of a peer and the number of its confirmed and refuted reports. [PeerReputation] is the
+// exported form; operators see it as trust.
 type reputation struct {
 	weight       float64
 	at           time.Duration // when the weight was last updated
 	right, wrong int
-	reports      int // stored
+	reports      int // number of stored reports
 }
 
-// evaluate changes the weight of a peer whose report an own call confirmed or refuted.
+// evaluate updates the weight of a peer whose report a call of this node confirmed or refuted.
 func (p *reputation) evaluate(confirmed bool) {
 	if confirmed {
 		p.weight = min(maxWeight, p.weight+confirmedStep)
@@ -38,8 +38,8 @@
 	p.wrong++
 }
 
-// reputationAt returns the reputation of a peer with its weight as of now: one below the initial weight regains half of
-// the difference in each Regain.
+// reputationAt returns the reputation of a peer with its weight updated to now. A weight below the initial weight
+// regains half of the difference per WeightHalfLife.
 func (v *Evaluator) reputationAt(now time.Duration, id Peer) *reputation {
 	p := v.peers[id]
 	if p == nil {
@@ -47,15 +47,16 @@
 		v.peers[id] = p
 	}
 	if p.weight < initialWeight && now > p.at {
-		missing := (initialWeight - p.weight) * math.Exp2(-float64(now-p.at)/float64(v.settings.Regain))
+		missing := (initialWeight - p.weight) * math.Exp2(-float64(now-p.at)/float64(v.settings.WeightHalfLife))
 		p.weight = initialWeight - missing
 	}
 	p.at = max(p.at, now)
 	return p
 }
 
-// SetMembers sets who the other members are, MaxPeers of them at most. Weights outlast a leave, so that a new start gains
-// no trust; where there are too many of them, those nearest to the initial weight are deleted.
+// SetMembers replaces the set of other members. Only the first MaxPeers are used. Weights are retained after a peer
+// leaves, so that a peer cannot regain trust by rejoining. If there are too many weights, those closest to the
+// initial weight are deleted.
 func (v *Evaluator) SetMembers(now time.Duration, others []Peer) {
 	v.members = map[Peer]bool{}
 	for _, p := range others {
@@ -63,8 +64,8 @@
 			v.members[p] = true
 		}
 	}
-	for _, of := range v.endpoints {
-		maps.DeleteFunc(of.reports, func(p Peer, _ *storedReport) bool { return !v.members[p] })
+	for _, e := range v.endpoints {
+		maps.DeleteFunc(e.reports, func(p Peer, _ *storedReport) bool { return !v.members[p] })
 	}
 	for id, p := range v.peers {
 		if !v.members[id] {
@@ -74,7 +75,7 @@
 	v.deleteReputations(now)
 }
 
-// deleteReputations deletes those of peers that left until the bound is kept.
+// deleteReputations deletes reputations of peers that have left until maxReputations is met.
 func (v *Evaluator) deleteReputations(now time.Duration) {
 	left := slices.DeleteFunc(slices.Sorted(maps.Keys(v.peers)), func(p Peer) bool { return v.members[p] })
 	for _, p := range left {
@@ -93,30 +94,30 @@
 
 func (v *Evaluator) maxReputations() int { return reputationsPerMember * v.settings.MaxPeers }
 
-// Standing is the reputation of a peer, as operators see it and as it is saved.
-type Standing struct {
+// PeerReputation is the reputation of a peer, as operators see it and as it is saved.
+type PeerReputation struct {
 	Peer         Peer
 	Member       bool
 	Weight       float64
 	Right, Wrong int
 }
 
-// Standings returns those of all peers that were evaluated or are members, in order.
-func (v *Evaluator) Standings(now time.Duration) []Standing {
-	all := []Standing{}
+// Reputations returns the reputations of all members and of other peers with a stored reputation, ordered by peer.
+func (v *Evaluator) Reputations(now time.Duration) []PeerReputation {
+	all := []PeerReputation{}
 	for p := range v.members {
 		v.reputationAt(now, p)
 	}
 	for _, id := range slices.Sorted(maps.Keys(v.peers)) {
 		p := v.reputationAt(now, id)
-		all = append(all, Standing{id, v.members[id], p.weight, p.right, p.wrong})
+		all = append(all, PeerReputation{id, v.members[id], p.weight, p.right, p.wrong})
 	}
 	return all
 }
 
-// Restore sets the standings that an earlier process saved, of members and others; those that are not valid are left
-// out. Reports are not saved: they are too old by then.
-func (v *Evaluator) Restore(now time.Duration, all []Standing) {
+// Restore restores reputations that an earlier process saved, of members and other peers. It skips invalid ones.
+// Reports are not saved because they would be too old after a restart.
+func (v *Evaluator) Restore(now time.Duration, all []PeerReputation) {
 	for _, s := range all {
 		if s.Weight >= minWeight && s.Weight <= maxWeight && s.Right >= 0 && s.Wrong >= 0 && len(v.peers) < v.maxReputations() {
 			v.peers[s.Peer] = &reputation{weight: s.Weight, at: now, right: s.Right, wrong: s.Wrong}
--- a/decide/gossip/disseminate.go
+++ b/decide/gossip/disseminate.go
@@ -8,23 +8,24 @@
 	"wingmount/decide/membership"
 )
 
-// priority orders reports where more are pending than fit into packets; the lowest goes first.
+// priority is the rank of a pending report when not all of them fit into packets. Lower values are sent first.
 type priority int
 
-// The priorities. A report that others have started to send, and that has no quorum yet, goes before one that nobody
-// else has sent, so that nodes report on the same endpoints.
+// The priorities, in sending order. A report that peers also send but that has no quorum yet precedes a report that
+// no peer has sent, so that the nodes concentrate on the same endpoints.
 const (
 	priorityRecovered priority = iota
 	priorityBelowQuorum
 	priorityFirst
 	priorityConfirmed
-	priorityContradiction
+	priorityContradicting
 )
 
-// schedule makes what was observed of an endpoint a pending report for all peers.
+// schedule queues a report on the current observations of an endpoint for all peers. contradiction marks a report
+// that only contradicts those of a peer.
 func (c *Core) schedule(now time.Duration, o *observedEndpoint, contradiction bool) {
 	r := &o.report
-	r.contradictions = contradiction && (!r.queued || r.contradictions)
+	r.contradictory = contradiction && (!r.queued || r.contradictory)
 	r.recipients = r.recipients[:0]
 	r.due = now
 	if r.lastDue > 0 {
@@ -37,13 +38,14 @@
 	}
 }
 
-// isDueFor reports whether a peer is to be sent the report on an endpoint now.
+// isDueFor reports whether the pending report on an endpoint should be sent to a peer now.
 func (c *Core) isDueFor(now time.Duration, o *observedEndpoint, to membership.Peer) bool {
 	r := &o.report
 	return r.due <= now && len(r.recipients) < c.settings.MaxRecipients && !slices.Contains(r.recipients, to)
 }
 
-// addReports adds to a packet as many pending reports as fit beside its updates and as its addressee has not been sent.
+// addReports adds pending reports that the recipient has not received, as many as fit into the packet with its
+// updates.
 func (c *Core) addReports(now time.Duration, out membership.Outgoing) Outgoing {
 	packet := Outgoing{To: out.To, Packet: Packet{Packet: out.Packet}}
 	capacity := c.settings.Capacity(len(out.Updates))
@@ -54,7 +56,7 @@
 		if o.current.calls == 0 || !c.isDueFor(now, o, out.To) {
 			continue
 		}
-		sum := o.lastSpans()
+		sum := o.recentCalls()
 		o.report.recipients = append(o.report.recipients, out.To)
 		packet.Reports = append(packet.Reports, evidence.Report{
 			Endpoint: o.id, Zone: c.settings.Evidence.Zone, From: sum.from, To: sum.to, Calls: sum.calls, Failed: sum.failed,
@@ -64,6 +66,7 @@
 	return packet
 }
 
+// addReportsToAll calls addReports for each packet.
 func (c *Core) addReportsToAll(now time.Duration, all []membership.Outgoing) []Outgoing {
 	var out []Outgoing
 	for _, packet := range all {
@@ -72,7 +75,7 @@
 	return out
 }
 
-// sortPending orders the pending reports by priority, and those of one priority by when they are due.
+// sortPending sorts the pending reports by priority, then by due time.
 func (c *Core) sortPending(now time.Duration, present int) {
 	quorum := evidence.Quorum(present + 1)
 	for _, o := range c.pending {
@@ -86,8 +89,8 @@
 func (c *Core) priorityOf(now time.Duration, o *observedEndpoint, quorum int) priority {
 	peers := c.evaluator.Assess(now, o.id).Peers
 	switch {
-	case o.report.contradictions:
-		return priorityContradiction
+	case o.report.contradictory:
+		return priorityContradicting
 	case !o.down:
 		return priorityRecovered
 	case peers == 0:
@@ -99,38 +102,38 @@
 	}
 }
 
-// expirePending removes reports that are too old to matter by the time that they would arrive, and delays those that
-// all peers were sent until they are sent once more, since datagrams get lost.
+// expirePending removes reports that would be too old to count when they arrive. It schedules reports that were sent
+// to all peers for another round after RefreshInterval, since datagrams can be lost.
 func (c *Core) expirePending(now time.Duration, present int) {
 	c.pending = slices.DeleteFunc(c.pending, func(o *observedEndpoint) bool {
 		r := &o.report
 		sentToAll := r.due <= now && len(r.recipients) >= min(present, c.settings.MaxRecipients)
-		r.queued = o.current.calls > 0 && now-o.current.to <= c.settings.Evidence.MaxAge/2 && (!sentToAll || !r.contradictions)
+		r.queued = o.current.calls > 0 && now-o.current.to <= c.settings.Evidence.MaxAge/2 && (!sentToAll || !r.contradictory)
 		if sentToAll {
-			r.recipients, r.due = r.recipients[:0], now+c.settings.Refresh
+			r.recipients, r.due = r.recipients[:0], now+c.settings.RefreshInterval
 		}
 		return !r.queued
 	})
 }
 
-// disseminate sends packets of reports to one peer after another, as far as the ceiling allows.
+// disseminate sends packets with reports to one peer after another until the packet rate limit is reached.
 func (c *Core) disseminate(now time.Duration, present []membership.Peer, out []Outgoing) []Outgoing {
 	for range present {
 		if !slices.ContainsFunc(c.pending, func(o *observedEndpoint) bool { return o.report.due <= now }) {
 			break
 		}
-		if len(c.order) == 0 {
-			c.order = c.members.ShuffledMembers()
+		if len(c.sendOrder) == 0 {
+			c.sendOrder = c.members.ShuffledMembers()
 		}
-		to := c.order[0]
-		c.order = c.order[1:]
+		to := c.sendOrder[0]
+		c.sendOrder = c.sendOrder[1:]
 		isDue := func(o *observedEndpoint) bool { return c.isDueFor(now, o, to) }
 		if !slices.Contains(present, to) || !slices.ContainsFunc(c.pending, isDue) {
 			continue
 		}
 		packet, ok := c.members.PacketFor(now, to)
 		if !ok {
-			c.order = slices.Insert(c.order, 0, to)
+			c.sendOrder = slices.Insert(c.sendOrder, 0, to)
 			break
 		}
 		out = append(out, c.addReports(now, packet))
--- a/decide/gossip/effects.go
+++ b/decide/gossip/effects.go
@@ -5,24 +5,24 @@
 	"wingmount/decide/evidence"
 )
 
-// Effect is what follows from peers' reports on an endpoint.
+// Effect is a change of an endpoint's state that peers' reports caused.
 type Effect struct {
 	Endpoint evidence.Endpoint
-	Down     bool // a quorum saw it failing; otherwise it has recovered, and slow start begins
-	// ProbePause is for how long this node leaves probes of an endpoint that is down to others: all members together
-	// make about one in each Evidence.TrialEvery, and each of them at least one in 1.5 times Evidence.MaxAge.
+	Down     bool // a quorum reported failures; false means that it has recovered and slow start begins
+	// ProbePause is how long this node sends no probes to an endpoint that is down for peers. All members together
+	// send about one probe per Evidence.TrialEvery, and each member at least one per 1.5 times Evidence.MaxAge.
 	ProbePause time.Duration
 }
 
-// Effects returns those since the last call, in order.
+// Effects returns the effects since the last call, in the order in which they occurred.
 func (c *Core) Effects() []Effect {
 	effects := c.effects
 	c.effects = nil
 	return effects
 }
 
-// assess updates the state of the endpoints on which something new is known, and of those that are suspected, and
-// appends an effect for each change.
+// assess updates the state of all suspected endpoints and of those with new reports or calls, and appends an effect
+// for each change.
 func (c *Core) assess(now time.Duration) {
 	for id := range c.suspected {
 		c.toAssess[id] = true
@@ -38,26 +38,26 @@
 	isSuspected, wasSuspected, o := c.evaluator.Assess(now, id).Suspected, c.suspected[id], c.endpoints[id]
 	recovered := c.evaluator.Recovered(now, id) && (wasSuspected || o.down)
 	switch {
-	case recovered && o.recoveredAt > 0 && now-o.recoveredAt < c.settings.Span:
-		c.toAssess[id] = true // at most once in a span
+	case recovered && o.recoveredAt > 0 && now-o.recoveredAt < c.settings.Window:
+		c.toAssess[id] = true // at most one recovery per window
 	case recovered:
 		delete(c.suspected, id)
-		// Others saw it first: this node has nothing to report, and the next failure is a change.
+		// Peers observed the recovery first, so this node has nothing to report. The next failure is a change again.
 		o.down, o.previous, o.current, o.recoveredAt = false, tally{}, tally{}, now
 		c.counts.Recovered++
 		c.effects = append(c.effects, Effect{Endpoint: id})
-	case isSuspected && (!wasSuspected || o.failedSinceEffect): // after a failed probe, the next ones are left to others again
+	case isSuspected && (!wasSuspected || o.failedSinceEffect): // after a failed probe this node pauses again
 		if !wasSuspected {
 			c.counts.Suspected++
 		}
 		c.suspected[id], o.failedSinceEffect = true, false
 		c.effects = append(c.effects, Effect{Endpoint: id, Down: true, ProbePause: c.probePause()})
 	case !isSuspected:
-		delete(c.suspected, id) // by an own call, or by age: this node's own probes decide
+		delete(c.suspected, id) // after a call of this node or expired reports: this node's own probes decide
 	}
 }
 
-// probePause draws for how long this node leaves probes to others, between half and one and a half times the mean.
+// probePause returns a random pause of this node's probes, from half to one and a half times the mean.
 func (c *Core) probePause() time.Duration {
 	mean := min(c.settings.Evidence.MaxAge, time.Duration(len(c.present)+1)*c.settings.Evidence.TrialEvery)
 	return mean/2 + time.Duration(c.random.Int64N(int64(mean)))
--- a/decide/gossip/gossip.go
+++ b/decide/gossip/gossip.go
@@ -1,17 +1,17 @@
-// Package gossip joins a node's view of its peers (package membership), its assessment of partners' endpoints (package
-// evidence), and the reports on its own calls that it sends to the others. It does no I/O, reads no clock and starts no
-// goroutines; the random source is a parameter.
+// Package gossip combines a node's view of the cluster members (package membership), its assessment of partners'
+// endpoints (package evidence), and the reports on its own calls that it sends to the other nodes. It does no I/O,
+// reads no clock and starts no goroutines; the random source is a parameter.
 //
-// It promises, beside what those two packages do:
+// It guarantees, in addition to the guarantees of those two packages:
 //   - a node reports only its own calls, never those of another node;
-//   - it reports nothing while nothing changes: a report is sent when an endpoint starts to fail or to succeed, while it
-//     fails, and when it succeeds though a peer reports that it fails;
-//   - reports travel within the ceiling of membership, and the answers of membership go before them;
-//   - its memory is bounded by the endpoints and peers that it was given.
+//   - a node sends no reports while nothing changes: it reports an endpoint when its calls start to fail or to
+//     succeed, repeatedly while they fail, and when they succeed although a peer reports failures;
+//   - reports count toward the packet rate limit of membership, and membership's responses take precedence over them;
+//   - memory is bounded by the configured endpoints and peers.
 //
-// A [Core] is not safe for concurrent use. Start reading at [Core.Tick] and [Core.Receive]; observe.go has the calls of
-// this node, disseminate.go the reports that it sends, effects.go what follows for sending. docs/design/gossip.md
-// has the design.
+// A [Core] is not safe for concurrent use. Start reading at [Core.Tick] and [Core.Receive]. observe.go records this
+// node's calls, disseminate.go sends reports, and effects.go derives the state changes that the caller acts on. The
+// design is described in docs/design/gossip.md.
 package gossip
 
 import (
@@ -23,31 +23,31 @@
 	"wingmount/decide/membership"
 )
 
-// Settings are the bounds and times of a core. Times are above 0.
+// Settings are the limits and durations of a core. Durations must be positive.
 type Settings struct {
 	Membership membership.Settings
 	Evidence   evidence.Settings
-	// Capacity returns how many reports fit into a packet beside so many updates.
+	// Capacity returns the number of reports that fit into a packet with the given number of updates.
 	Capacity func(updates int) int
-	// MaxRecipients is how many peers a report is sent to at most.
+	// MaxRecipients is the maximum number of peers that a report is sent to.
 	MaxRecipients int
-	// Span is how long calls are counted together.
-	Span time.Duration
-	// MinInterval is the shortest time between two reports on an endpoint.
+	// Window is the length of the windows in which calls are counted.
+	Window time.Duration
+	// MinInterval is the minimum time between two reports on the same endpoint.
 	MinInterval time.Duration
-	// Refresh is the time after which a report is sent again while it is still true.
-	Refresh time.Duration
+	// RefreshInterval is the time after which a report that still holds is sent again.
+	RefreshInterval time.Duration
 }
 
-// Defaults returns the settings of a node in an availability zone, by its name and its seeds.
+// Defaults returns the settings of the node self in an availability zone. It joins through the seeds.
 func Defaults(self membership.Peer, zone int, capacity func(updates int) int, seeds ...membership.Peer) Settings {
 	return Settings{
 		Membership: membership.Defaults(self, seeds...), Evidence: evidence.Defaults(zone), Capacity: capacity,
-		MaxRecipients: 64, Span: time.Second, MinInterval: 500 * time.Millisecond, Refresh: 3 * time.Second,
+		MaxRecipients: 64, Window: time.Second, MinInterval: 500 * time.Millisecond, RefreshInterval: 3 * time.Second,
 	}
 }
 
-// Packet is what goes from node to node. The peer of its reports is its sender.
+// Packet is a message between nodes. Its sender is the peer of its reports.
 type Packet struct {
 	membership.Packet
 	Reports []evidence.Report
@@ -63,20 +63,20 @@
 type Counts struct {
 	Sent      uint64 // reports
 	Received  uint64 // reports that were accepted
-	Rejected  uint64 // reports that were not, such as of no member, too old, or repeated
-	Suspected uint64 // endpoints that came to be suspected
-	Recovered uint64 // endpoints that peers saw recover first
+	Rejected  uint64 // reports that were rejected, for example from a non-member, too old, or repeated
+	Suspected uint64 // transitions of an endpoint to suspected
+	Recovered uint64 // recoveries that peers observed before this node
 }
 
-// Core decides for one node.
+// Core is the gossip state machine of one node.
 type Core struct {
 	settings  Settings
 	random    *rand.Rand
 	members   *membership.Node
 	evaluator *evidence.Evaluator
 	endpoints map[evidence.Endpoint]*observedEndpoint
-	pending   []*observedEndpoint // with a report to send, oldest first
-	order     []membership.Peer   // to which reports are sent next
+	pending   []*observedEndpoint // endpoints with a pending report, sorted by sortPending
+	sendOrder []membership.Peer   // remaining recipients of this round, in random order
 	present   []membership.Peer
 	toAssess  map[evidence.Endpoint]bool // endpoints whose assessment may have changed
 	suspected map[evidence.Endpoint]bool
@@ -84,7 +84,7 @@
 	counts    Counts
 }
 
-// New returns a core without members and endpoints; see [Core.SetNames] and [Core.SetEndpoints].
+// New returns a core without members and endpoints. Set them with [Core.SetNames] and [Core.SetEndpoints].
 func New(s Settings, random *rand.Rand) *Core {
 	return &Core{
 		settings: s, random: random, members: membership.New(s.Membership, random), evaluator: evidence.New(s.Evidence),
@@ -93,22 +93,26 @@
 	}
 }
 
-// Members returns the view of the members. It is only to be read.
+// Members returns the membership state of this node. Callers must not modify it.
 func (c *Core) Members() *membership.Node { return c.members }
 
 // Counts returns totals since the start.
 func (c *Core) Counts() Counts { return c.counts }
 
-// SetNames sets who may be a member.
+// SetNames sets the nodes that may be members.
 func (c *Core) SetNames(all []membership.Peer) { c.members.SetNames(all) }
 
-// Restore sets the standings of peers that an earlier process saved.
-func (c *Core) Restore(now time.Duration, all []evidence.Standing) { c.evaluator.Restore(now, all) }
+// Restore restores the peer reputations that an earlier process saved.
+func (c *Core) Restore(now time.Duration, all []evidence.PeerReputation) {
+	c.evaluator.Restore(now, all)
+}
 
-// Standings returns those of all peers.
-func (c *Core) Standings(now time.Duration) []evidence.Standing { return c.evaluator.Standings(now) }
+// Reputations returns the reputations of all peers.
+func (c *Core) Reputations(now time.Duration) []evidence.PeerReputation {
+	return c.evaluator.Reputations(now)
+}
 
-// Suspected returns the endpoints that are suspected, in order.
+// Suspected returns the suspected endpoints in ascending order.
 func (c *Core) Suspected() []evidence.Endpoint {
 	var all []evidence.Endpoint
 	for id := range c.suspected {
@@ -118,7 +122,7 @@
 	return all
 }
 
-// SetEndpoints sets which endpoints there are, Evidence.MaxEndpoints of them at most.
+// SetEndpoints replaces the set of endpoints. Only the first Evidence.MaxEndpoints are used.
 func (c *Core) SetEndpoints(ids []evidence.Endpoint) {
 	ids = ids[:min(len(ids), c.settings.Evidence.MaxEndpoints)]
 	c.evaluator.SetEndpoints(ids)
@@ -139,8 +143,8 @@
 	}
 }
 
-// Receive handles a packet of an authenticated node, and returns the packets to send. The times of its reports are by
-// this node's clock.
+// Receive handles a packet from an authenticated node and returns the packets to send. The caller must have converted
+// the times of its reports to this node's clock.
 func (c *Core) Receive(now time.Duration, from membership.Peer, p Packet) []Outgoing {
 	out := c.members.Receive(now, from, p.Packet)
 	c.updateMembers(now, c.members.Present())
@@ -159,8 +163,7 @@
 	return c.addReportsToAll(now, out)
 }
 
-// Tick does what is due, and returns the packets to send. It is called several times in
-// Settings.MinInterval.
+// Tick runs the actions that are due and returns the packets to send. Call it several times per Settings.MinInterval.
 func (c *Core) Tick(now time.Duration) []Outgoing {
 	present := c.members.Present()
 	c.updateMembers(now, present)
@@ -171,12 +174,12 @@
 	return out
 }
 
-// Leave announces to the others that this node leaves.
+// Leave announces that this node leaves the cluster, and returns the packets to send.
 func (c *Core) Leave(now time.Duration) []Outgoing {
 	return c.addReportsToAll(now, c.members.Leave(now))
 }
 
-// updateMembers passes the members on to the evaluator, if they have changed.
+// updateMembers passes the present members to the evaluator if they have changed.
 func (c *Core) updateMembers(now time.Duration, present []membership.Peer) {
 	if slices.Equal(present, c.present) {
 		return
@@ -189,7 +192,7 @@
 	c.evaluator.SetMembers(now, peers)
 }
 
-// sortedEndpoints returns the keys of a set, in order.
+// sortedEndpoints returns the keys of a set in ascending order.
 func sortedEndpoints(set map[evidence.Endpoint]bool) []evidence.Endpoint {
 	ids := make([]evidence.Endpoint, 0, len(set))
 	for id := range set {
--- a/decide/gossip/gossip_test.go
+++ b/decide/gossip/gossip_test.go
@@ -256,7 +256,7 @@
 	}
 	for p, e := range w.effects {
 		if calls := slices.DeleteFunc(e, func(e effect) bool { return e.Down }); len(calls) > 2 {
-			t.Errorf("node %d was made to call %d times: %v; %+v", p, len(calls), calls, w.nodes[p].Standings(w.now)[:4])
+			t.Errorf("node %d was made to call %d times: %v; %+v", p, len(calls), calls, w.nodes[p].Reputations(w.now)[:4])
 		}
 	}
 }
--- a/decide/gossip/observe.go
+++ b/decide/gossip/observe.go
@@ -6,35 +6,36 @@
 	"wingmount/decide/membership"
 )
 
-// tally counts calls in a span.
+// tally counts the calls in a window.
 type tally struct {
 	from, to      time.Duration
 	calls, failed int
 }
 
-// observedEndpoint is what this node observed of an endpoint, with the report on it that is to be sent.
+// observedEndpoint contains this node's observations of an endpoint and the state of its report on it.
 type observedEndpoint struct {
 	id                evidence.Endpoint
 	current, previous tally
-	down              bool          // as it was reported last
-	recoveredAt       time.Duration // when the reports of peers last showed that it is back
-	failedSinceEffect bool
+	down              bool          // state in the latest scheduled report
+	recoveredAt       time.Duration // time of the last recovery that peers' reports showed
+	failedSinceEffect bool          // a call of this node failed since the last Down effect
 
 	report pendingReport
 }
 
 // pendingReport is the state of the report on an endpoint.
 type pendingReport struct {
-	queued         bool
-	lastDue        time.Duration // when the latest report was or is due, also if it was never sent; 0 for none
-	due            time.Duration // when it may be sent
-	contradictions bool          // it only contradicts a peer: it is sent after all others
-	recipients     []membership.Peer
-	priority       priority
+	queued        bool
+	lastDue       time.Duration // due time of the latest scheduled report, even if it was never sent; 0 if there was none
+	due           time.Duration // earliest time to send it
+	contradictory bool          // it only contradicts a peer, so it is sent after all others
+	recipients    []membership.Peer
+	priority      priority
 }
 
-// lastSpans returns the calls of the last two spans, or of the last one if the two are far apart.
-func (o *observedEndpoint) lastSpans() tally {
+// recentCalls returns the calls of the last two windows, or of the last one if the gap between the two is longer than
+// both together.
+func (o *observedEndpoint) recentCalls() tally {
 	sum, previous := o.current, o.previous
 	gap := sum.from - previous.to
 	if previous.calls > 0 && gap <= sum.to-sum.from+previous.to-previous.from {
@@ -45,7 +46,8 @@
 	return sum
 }
 
-// ObserveCall records how a call of this node ended.
+// ObserveCall records the outcome of a call of this node and schedules a report if the endpoint's state changed, or
+// if it still fails and RefreshInterval has passed.
 func (c *Core) ObserveCall(now time.Duration, id evidence.Endpoint, began time.Duration, succeeded bool) {
 	o := c.endpoints[id]
 	if o == nil {
@@ -53,23 +55,23 @@
 	}
 	c.evaluator.ObserveCall(now, id, began, succeeded)
 	c.toAssess[id] = true
-	o.count(now, succeeded, c.settings.Span)
-	sum := o.lastSpans()
+	o.count(now, succeeded, c.settings.Window)
+	sum := o.recentCalls()
 	down := 2*sum.failed > sum.calls
 	changed := down != o.down
-	if changed || down && now-o.report.lastDue >= c.settings.Refresh {
+	if changed || down && now-o.report.lastDue >= c.settings.RefreshInterval {
 		o.down = down
 		c.schedule(now, o, false)
 	}
 }
 
-// count adds a call to the current span. A success after a failure that was reported starts anew: earlier failures do
-// not count any more.
-func (o *observedEndpoint) count(now time.Duration, succeeded bool, span time.Duration) {
+// count adds a call to the current window. A success after a reported failure resets the counts, so that earlier
+// failures no longer count.
+func (o *observedEndpoint) count(now time.Duration, succeeded bool, window time.Duration) {
 	switch {
 	case succeeded && o.down:
 		o.previous, o.current = tally{}, tally{from: now}
-	case o.current.calls == 0 || now-o.current.from > span:
+	case o.current.calls == 0 || now-o.current.from > window:
 		o.previous, o.current = o.current, tally{from: now}
 	}
 	o.current.to = now
@@ -80,11 +82,12 @@
 	}
 }
 
-// contradicts reports whether this node sees an endpoint succeed of which a peer reports that it fails, and has not
-// reported on it for a while. The peer, and those that received its report, are then sent one.
+// contradicts reports whether this node's calls to an endpoint succeed although a peer reports failures, and this
+// node has not reported on it for RefreshInterval. A report is then sent to the peer and to those that received its
+// report.
 func (c *Core) contradicts(now time.Duration, o *observedEndpoint) bool {
-	if o == nil || o.down || o.current.calls == 0 || now-o.current.to > c.settings.Evidence.OwnTime {
+	if o == nil || o.down || o.current.calls == 0 || now-o.current.to > c.settings.Evidence.OwnSuccessTime {
 		return false
 	}
-	return o.report.lastDue == 0 || now-o.report.lastDue >= c.settings.Refresh
+	return o.report.lastDue == 0 || now-o.report.lastDue >= c.settings.RefreshInterval
 }
--- a/decide/membership/membership.go
+++ b/decide/membership/membership.go
@@ -1,17 +1,19 @@
-// Package membership tracks which nodes there are: the SWIM protocol with Lifeguard's refinements (local health,
-// suspicions that end sooner the more members confirm them, and notifying a suspected member at once), as a state
-// machine. It does no I/O, reads no clock and starts no goroutines; the random source is a parameter.
+// Package membership tracks the members of the cluster. It implements the SWIM protocol with Lifeguard's refinements
+// (local health, suspicions that expire sooner the more members confirm them, and immediate notification of a
+// suspected member) as a state machine. It does no I/O, reads no clock and starts no goroutines; the random source is
+// a parameter.
 //
-// It promises:
-//   - a node sends no more than [Settings].Datagrams in a second, at any size and under any storm;
-//   - a member that answers itself or by others is not declared dead, and one that was refutes it;
-//   - an incarnation never goes back: what is older changes nothing;
-//   - nodes that can reach each other come to know the same members, also after a cut, and two groups
-//     that share a seed find each other;
-//   - it stores nothing of names other than those of [Node.SetNames], so its memory is bounded by them.
+// It guarantees:
+//   - a node sends at most [Settings].Datagrams packets per second, for any cluster size and during any failure;
+//   - a member that responds, directly or through other members, is not declared dead, and a member that was declared
+//     dead refutes it;
+//   - incarnations never decrease, and older updates change nothing;
+//   - nodes that can reach each other converge to the same members, also after a partition, and two groups that share
+//     a seed find each other;
+//   - only names passed to [Node.SetNames] are stored, so memory is bounded by their number.
 //
-// A [Node] is not safe for concurrent use. Start reading at [Node.Tick] and [Node.Receive], which return the packets to
-// send; docs/design/gossip.md has the design.
+// A [Node] is not safe for concurrent use. Start reading at [Node.Tick] and [Node.Receive], which return the packets
+// to send. The design is described in docs/design/gossip.md.
 package membership
 
 import (
@@ -24,53 +26,53 @@
 	"github.com/google/btree"
 )
 
-// queueDegree is the degree of the tree of broadcasts.
+// queueDegree is the degree of the B-tree of pending broadcasts.
 const queueDegree = 8
 
-// member is what is known of another node.
+// member is the state of another node.
 type member struct {
 	Update
-	since        time.Duration // when the status changed
-	suspected    map[Peer]bool // by whom, Confirm+1 at most
-	lastReceived time.Duration // when its own last packet came
+	since        time.Duration // time of the last status change or new suspicion
+	suspectedBy  map[Peer]bool // members that suspect it, at most Confirmations+1
+	lastReceived time.Duration // time of the last packet from the member itself
 }
 
 // Counts are totals since the start.
 type Counts struct {
-	Sent, Dropped      uint64 // packets; Dropped were over the ceiling
-	Suspicions, Deaths uint64 // that this node started, or declared
+	Sent, Dropped      uint64 // packets; Dropped exceeded the rate limit
+	Suspicions, Deaths uint64 // suspicions started and deaths declared by this node
 	Refutations        uint64
-	Invalid            uint64 // updates that are malformed, or of unknown names
+	Invalid            uint64 // updates that are malformed or name an unknown node
 }
 
-// Node is one member with its view of the others. It is not safe for concurrent use.
+// Node is the membership state machine of one node. It is not safe for concurrent use.
 type Node struct {
 	settings    Settings
 	random      *rand.Rand
 	incarnation uint64
 	leaving     bool
-	names       map[Peer]bool // who may be a member
+	names       map[Peer]bool // nodes that may be members
 	view
 	counts Counts
 
-	broadcasts map[Peer]*pendingUpdate
-	queue      *btree.BTreeG[*pendingUpdate] // the broadcasts, those sent least often first
-	syncCursor int                           // where the next exchange of the complete view continues
-	diverged   int                           // packets in this period whose sender has another view
+	broadcasts      map[Peer]*pendingUpdate
+	queue           *btree.BTreeG[*pendingUpdate] // the pending broadcasts, least recordTransmission first
+	syncCursor      int                           // position in view.all from which the next view exchange continues
+	divergedPackets int                           // packets in this period whose sender has a different view
 
-	probeOrder []Peer // those to probe next; shuffled each round
-	probe      *probe // of the present period, nil where it is answered or there was none
+	probeOrder []Peer // members still to probe in this round; shuffled for each round
+	probe      *probe // probe of the current period; nil if there was no member to probe
 	relays     map[uint32]*relay
 	seq        uint32
 	nextPeriod time.Duration // when the next period begins
-	health     int           // Lifeguard's local health: 0 is well
+	health     int           // Lifeguard's local health multiplier: 0 is healthy, higher is worse
 
 	outbox     []Outgoing
-	sentSecond time.Duration // the second that sentCount counts
+	sentSecond time.Duration // the second in which sentCount packets were sent
 	sentCount  int
 }
 
-// New returns a node that knows only its seeds. There are no members before [Node.SetNames].
+// New returns a node without members. Call [Node.SetNames] to set the nodes that may be members.
 func New(s Settings, random *rand.Rand) *Node {
 	n := &Node{
 		settings: s, random: random, incarnation: s.Incarnation, view: view{members: map[Peer]*member{}},
@@ -80,7 +82,7 @@
 	return n
 }
 
-// SetNames sets who may be a member: the nodes that have a key. All others are deleted from the view.
+// SetNames sets the nodes that may be members: those with a key. It deletes all others from the view.
 func (n *Node) SetNames(all []Peer) {
 	n.names = map[Peer]bool{}
 	for _, p := range all {
@@ -89,26 +91,27 @@
 	removed := func(p Peer) bool { return p != n.settings.Self && !n.names[p] }
 	for _, p := range slices.Clone(n.all) {
 		if removed(p) {
-			n.drop(p)
+			n.deleteMember(p)
 		}
 	}
 	for p := range maps.Clone(n.broadcasts) {
 		if removed(p) {
-			n.withdraw(p)
+			n.cancelBroadcast(p)
 		}
 	}
 }
 
-// Incarnation returns the node's own incarnation. The caller must persist it before it sends a packet with it, see [Settings].
+// Incarnation returns the incarnation of this node. The caller must persist it before it sends a packet that contains
+// it, see [Settings].
 func (n *Node) Incarnation() uint64 { return n.incarnation }
 
 // Counts returns totals since the start.
 func (n *Node) Counts() Counts { return n.counts }
 
-// Health returns Lifeguard's local health, from 0 (well) to Settings.MaxHealth.
+// Health returns Lifeguard's local health, from 0 (healthy) to Settings.MaxHealth.
 func (n *Node) Health() int { return n.health }
 
-// Member returns the view of a member, false for one that is not known.
+// Member returns the view of a member. It returns false for an unknown member.
 func (n *Node) Member(p Peer) (Update, bool) {
 	if m := n.members[p]; m != nil {
 		return m.Update, true
@@ -116,16 +119,16 @@
 	return Update{}, false
 }
 
-// Present returns the other members that are alive or suspected, in order.
+// Present returns the other members that are alive or suspected, in ascending order.
 func (n *Node) Present() []Peer { return slices.Clone(n.present) }
 
-// size returns the number of members, this one included.
+// size returns the number of present members, including this node.
 func (n *Node) size() int { return 1 + len(n.present) }
 
-// logSize returns the factor by which times and counts grow with the number of members.
-func logSize(n int) float64 { return math.Max(1, math.Log10(float64(n))) }
+// logScale returns the factor by which durations and counts grow with the number of members.
+func logScale(n int) float64 { return math.Max(1, math.Log10(float64(n))) }
 
-// ownStatus returns the status that this node gives itself.
+// ownStatus returns the status that this node broadcasts of itself.
 func (n *Node) ownStatus() Status {
 	if n.leaving {
 		return Left
@@ -133,12 +136,13 @@
 	return Alive
 }
 
-// Leave announces that this node leaves: to a few members at once, and with every packet from then on.
+// Leave announces that this node leaves the cluster, and returns the packets to send. It notifies a few members at
+// once; the digest of every later packet also has the node as left.
 func (n *Node) Leave(now time.Duration) []Outgoing {
 	n.leaving = true
 	n.broadcast(Update{Member: n.settings.Self, Status: Left, Incarnation: n.incarnation})
 	for i, p := range n.ShuffledMembers() {
-		if i == n.settings.Indirect {
+		if i == n.settings.IndirectProbes {
 			break
 		}
 		n.send(now, p, Packet{Kind: Ping, Seq: n.nextSeq()}, false)
--- a/decide/membership/membership_test.go
+++ b/decide/membership/membership_test.go
@@ -415,12 +415,12 @@
 			var slow view
 			slow.members = map[Peer]*member{}
 			for p, m := range n.members {
-				slow.put(&member{}, m.Update)
+				slow.set(&member{}, m.Update)
 				if m.Member != p {
 					t.Fatalf("%d is kept as %d", m.Member, p)
 				}
 			}
-			if slow.sum != n.sum || fmt.Sprint(slow.all, slow.present, slow.suspect, slow.dead) != fmt.Sprint(n.all, n.present, n.view.suspect, n.dead) {
+			if slow.hash != n.hash || fmt.Sprint(slow.all, slow.present, slow.suspect, slow.dead) != fmt.Sprint(n.all, n.present, n.view.suspect, n.dead) {
 				t.Fatalf("%+v kept, %+v found", n.view, slow)
 			}
 			if known > 5 || len(n.broadcasts) > 6 || n.queue.Len() != len(n.broadcasts) || len(n.relays) > 4*s.Datagrams {
--- a/decide/membership/packet.go
+++ b/decide/membership/packet.go
@@ -3,15 +3,15 @@
 // Peer identifies a node.
 type Peer uint32
 
-// Status is the state of a member in a view.
+// Status is the status of a member in a node's view.
 type Status uint8
 
-// The statuses, in the order in which they win at one incarnation.
+// The statuses, in order of precedence: for the same incarnation, a later status overrides an earlier one.
 const (
 	Alive Status = iota
 	Suspect
-	Dead // it does not answer
-	Left // it has announced that it leaves
+	Dead // it did not respond and did not refute the suspicion in time
+	Left // it announced that it leaves the cluster
 )
 
 // Update is one node's view of a member.
@@ -19,27 +19,27 @@
 	Member      Peer
 	Status      Status
 	Incarnation uint64
-	From        Peer // the node that suspects it, with Suspect
+	From        Peer // the node that suspects the member; only with Suspect
 }
 
-// Kind is what a packet is for.
+// Kind is the type of a packet.
 type Kind uint8
 
-// The kinds of packet.
+// The packet kinds.
 const (
-	Ping    Kind = iota // answer with Ack
-	Ack                 // of the Ping with this Seq
-	PingReq             // ping Target, and forward its Ack
-	Nack                // to a PingReq: the Target has not answered yet
-	Gossip              // no answer: it carries updates, and data of the caller
+	Ping    Kind = iota // requests an Ack
+	Ack                 // response to the Ping or PingReq with this Seq
+	PingReq             // requests a Ping of Target and the forwarding of its Ack
+	Nack                // response to a PingReq: Target has not responded yet
+	Gossip              // requests no response; contains updates and the caller's data
 )
 
-// Packet is what goes from node to node. It has MaxUpdates updates at most.
+// Packet is a message between nodes. It contains at most MaxUpdates updates.
 type Packet struct {
 	Kind    Kind
-	Seq     uint32 // of the probe; an answer has that of its request
-	Target  Peer   // PingReq and its answers
-	Digest  uint64 // of the sender's view of all members
+	Seq     uint32 // sequence number of the probe; a response has that of its request
+	Target  Peer   // set in PingReq and its responses
+	Digest  uint64 // hash of the sender's view of all members
 	Updates []Update
 }
 
@@ -49,5 +49,5 @@
 	Packet
 }
 
-// MaxUpdates is how many updates travel in a packet.
+// MaxUpdates is the maximum number of updates in a packet.
 const MaxUpdates = 7
--- a/decide/membership/probe.go
+++ b/decide/membership/probe.go
@@ -12,21 +12,21 @@
 	target   Peer
 	seq      uint32
 	sent     time.Duration
-	indirect int // members that were asked to probe
+	indirect int // number of members asked to probe, at least 1 once probeIndirectly ran
 	nacks    int
-	done     bool
+	acked    bool
 }
 
-// relay is a probe for another node.
+// relay is a probe that this node sent on behalf of another node.
 type relay struct {
-	asked  Peer
-	seq    uint32 // of the one that asked
-	target Peer
-	at     time.Duration
-	nacked bool
+	requester Peer
+	seq       uint32 // sequence number of the requester's probe
+	target    Peer
+	at        time.Duration
+	nacked    bool
 }
 
-// Tick does what is due, and returns the packets to send. It is called several times a Timeout.
+// Tick runs the actions that are due and returns the packets to send. Call it several times per Settings.Timeout.
 func (n *Node) Tick(now time.Duration) []Outgoing {
 	n.expireRelays(now)
 	n.expireSuspicions(now)
@@ -40,13 +40,14 @@
 	return n.flush()
 }
 
-// expireRelays sends a Nack to each node whose probe's target has not answered in time, and deletes old relays.
+// expireRelays sends a Nack to each requester whose target has not responded within Timeout, and deletes relays older
+// than two periods.
 func (n *Node) expireRelays(now time.Duration) {
 	for _, seq := range slices.Sorted(maps.Keys(n.relays)) {
 		r := n.relays[seq]
 		if now-r.at >= n.settings.Timeout && !r.nacked {
 			r.nacked = true
-			n.send(now, r.asked, Packet{Kind: Nack, Seq: r.seq, Target: r.target}, false)
+			n.send(now, r.requester, Packet{Kind: Nack, Seq: r.seq, Target: r.target}, false)
 		}
 		if now-r.at >= 2*n.settings.Period {
 			delete(n.relays, seq)
@@ -67,14 +68,14 @@
 	}
 }
 
-// probeIndirectly asks others to probe a member that has not answered in time.
+// probeIndirectly asks other members to probe a target that has not responded within the timeout.
 func (n *Node) probeIndirectly(now time.Duration) {
 	q := n.probe
-	if q == nil || q.done || q.indirect > 0 || now-q.sent < n.scaleByHealth(n.settings.Timeout) {
+	if q == nil || q.acked || q.indirect > 0 || now-q.sent < n.scaleByHealth(n.settings.Timeout) {
 		return
 	}
 	for _, p := range n.ShuffledMembers() {
-		if q.indirect == n.settings.Indirect {
+		if q.indirect == n.settings.IndirectProbes {
 			break
 		}
 		if p != q.target && n.members[p].Status == Alive {
@@ -82,23 +83,23 @@
 			n.send(now, p, Packet{Kind: PingReq, Seq: q.seq, Target: q.target}, false)
 		}
 	}
-	q.indirect = max(q.indirect, 1) // asked, if there is anybody
+	q.indirect = max(q.indirect, 1) // marks the step as done even if no member could be asked
 }
 
-// scaleByHealth makes a time longer while the local health is bad.
+// scaleByHealth multiplies a duration by the local health plus one, which extends it while this node is unhealthy.
 func (n *Node) scaleByHealth(d time.Duration) time.Duration { return d * time.Duration(n.health+1) }
 
-// suspicionTimeout returns how long a suspicion lasts: between Alpha·log10(members) periods and Beta times that, the
-// shorter the more members confirm it.
+// suspicionTimeout returns the duration of a suspicion. It decreases from Beta times the minimum to the minimum of
+// Alpha·log10(members) periods as more members confirm the suspicion.
 func (n *Node) suspicionTimeout(m *member) time.Duration {
-	shortest := n.settings.Alpha * logSize(n.size()) * float64(n.settings.Period)
+	shortest := n.settings.Alpha * logScale(n.size()) * float64(n.settings.Period)
 	longest := n.settings.Beta * shortest
-	confirmed := max(0, len(m.suspected)-1)
-	d := longest - (longest-shortest)*math.Log(float64(confirmed)+1)/math.Log(float64(n.settings.Confirm)+1)
+	confirmed := max(0, len(m.suspectedBy)-1)
+	d := longest - (longest-shortest)*math.Log(float64(confirmed)+1)/math.Log(float64(n.settings.Confirmations)+1)
 	return time.Duration(math.Max(shortest, d))
 }
 
-// startPeriod ends a probe that was not answered, and starts the next.
+// startPeriod ends the previous probe and starts the next one.
 func (n *Node) startPeriod(now time.Duration) {
 	n.endProbe(now)
 	n.nextPeriod = now + n.scaleByHealth(n.settings.Period)
@@ -107,17 +108,17 @@
 		n.send(now, target, Packet{Kind: Ping, Seq: n.probe.seq}, false)
 	}
 	n.syncDiverged(now)
-	n.probeAway(now)
+	n.probeAbsent(now)
 }
 
-// endProbe ends the probe of the period before, and suspects a member that did not answer it.
+// endProbe ends the probe of the previous period, and suspects the target if it has not responded.
 func (n *Node) endProbe(now time.Duration) {
 	q := n.probe
 	n.probe = nil
-	if q == nil || q.done {
+	if q == nil || q.acked {
 		return
 	}
-	// Members that were asked and are well send a Nack: missing ones point at this node's own health.
+	// Healthy members that were asked respond with a Nack. Missing Nacks indicate that this node itself is unhealthy.
 	n.adjustHealth(max(1, q.indirect-q.nacks))
 	m := n.members[q.target]
 	if m == nil || m.Status > Suspect {
@@ -132,41 +133,41 @@
 	n.suspect(now, m, u)
 }
 
-// syncDiverged exchanges more than a probe while the views of others differ: up to a quarter of the ceiling for requests,
-// and as much for their answers.
+// syncDiverged sends additional pings with view updates if packets in this period showed different views. The pings
+// use up to a quarter of the packet rate limit, and their responses as much.
 func (n *Node) syncDiverged(now time.Duration) {
-	if n.diverged > 0 {
+	if n.divergedPackets > 0 {
 		for i, p := range n.ShuffledMembers() {
-			if i >= n.settings.Datagrams/answerShare {
+			if i >= n.settings.Datagrams/responseReserveDivisor {
 				break
 			}
 			n.send(now, p, Packet{Kind: Ping, Seq: n.nextSeq()}, true)
 		}
 	}
-	n.diverged = 0
+	n.divergedPackets = 0
 }
 
-// probeAway also probes a dead member or an unknown seed, so that groups that were partitioned, or never met, find
-// each other.
-func (n *Node) probeAway(now time.Duration) {
-	var away []Peer
+// probeAbsent additionally probes a random dead member or unknown seed, so that groups find each other after a
+// partition or if they have never been in contact.
+func (n *Node) probeAbsent(now time.Duration) {
+	var absent []Peer
 	for _, p := range n.settings.Seeds {
 		if n.members[p] == nil && p != n.settings.Self {
-			away = append(away, p)
+			absent = append(absent, p)
 		}
 	}
-	away = append(away, n.dead...)
-	if len(away) == 0 {
+	absent = append(absent, n.dead...)
+	if len(absent) == 0 {
 		return
 	}
-	slices.Sort(away)
-	n.send(now, away[n.random.IntN(len(away))], Packet{Kind: Ping, Seq: n.nextSeq()}, true)
+	slices.Sort(absent)
+	n.send(now, absent[n.random.IntN(len(absent))], Packet{Kind: Ping, Seq: n.nextSeq()}, true)
 }
 
-// adjustHealth changes the local health within its bounds; higher is worse.
+// adjustHealth changes the local health within its limits. Higher values are worse.
 func (n *Node) adjustHealth(by int) { n.health = min(n.settings.MaxHealth, max(0, n.health+by)) }
 
-// nextTarget returns the member to probe next: each once in a round, in a random order.
+// nextTarget returns the member to probe next. Each round probes every member once in random order.
 func (n *Node) nextTarget() (Peer, bool) {
 	for range 2 {
 		for len(n.probeOrder) > 0 {
@@ -181,7 +182,7 @@
 	return 0, false
 }
 
-// ShuffledMembers returns the present members in a random order.
+// ShuffledMembers returns the present members in random order.
 func (n *Node) ShuffledMembers() []Peer {
 	all := n.Present()
 	n.random.Shuffle(len(all), func(i, k int) { all[i], all[k] = all[k], all[i] })
--- a/decide/membership/receive.go
+++ b/decide/membership/receive.go
@@ -3,15 +3,17 @@
 import "time"
 
 const (
-	// maxIncarnationGap is by how much others may raise a member's incarnation.
+	// maxIncarnationGap is the maximum amount by which an update from another node may raise a member's incarnation.
 	maxIncarnationGap = 1 << 10
-	// maxIncarnation leaves numbers above all that are accepted.
+	// maxIncarnation is the highest incarnation that is accepted. It leaves room for a refutation to use a higher
+	// one.
 	maxIncarnation = 1 << 62
-	// relaysPerDatagram bounds the probes for other nodes: so many for each packet a second.
+	// relaysPerDatagram is the maximum number of relays in progress for each packet per second of the rate limit.
 	relaysPerDatagram = 4
 )
 
-// Receive handles a packet of an authenticated node, and returns the packets to send. Packets of unknown nodes are ignored.
+// Receive handles a packet from an authenticated node and returns the packets to send. It ignores packets from
+// unknown nodes.
 func (n *Node) Receive(now time.Duration, from Peer, p Packet) []Outgoing {
 	if from == n.settings.Self || !n.names[from] || len(p.Updates) > MaxUpdates {
 		return nil
@@ -24,21 +26,21 @@
 	}
 	differs := p.Digest != n.digest()
 	if differs {
-		n.diverged++
+		n.divergedPackets++
 	}
-	n.answer(now, from, p, differs)
+	n.respond(now, from, p, differs)
 	return n.flush()
 }
 
-// answer does what the kind of a packet asks for.
-func (n *Node) answer(now time.Duration, from Peer, p Packet, differs bool) {
+// respond handles a packet according to its kind.
+func (n *Node) respond(now time.Duration, from Peer, p Packet, differs bool) {
 	switch p.Kind {
 	case Ping:
 		n.send(now, from, Packet{Kind: Ack, Seq: p.Seq}, differs)
 	case PingReq:
-		n.relay(now, from, p)
+		n.relayPing(now, from, p)
 	case Ack:
-		n.acknowledge(now, from, p)
+		n.handleAck(now, from, p)
 	case Nack:
 		if q := n.probe; q != nil && q.seq == p.Seq && p.Target == q.target {
 			q.nacks++
@@ -46,31 +48,32 @@
 	}
 }
 
-// relay probes a member for another node. Only members are probed, so that nobody can direct packets elsewhere.
-func (n *Node) relay(now time.Duration, from Peer, p Packet) {
+// relayPing probes a member on behalf of another node. Only members are probed, so that a node cannot direct packets
+// to arbitrary targets.
+func (n *Node) relayPing(now time.Duration, from Peer, p Packet) {
 	if n.members[p.Target] == nil || p.Target == from || len(n.relays) >= relaysPerDatagram*n.settings.Datagrams {
 		return
 	}
 	seq := n.nextSeq()
-	n.relays[seq] = &relay{asked: from, seq: p.Seq, target: p.Target, at: now}
+	n.relays[seq] = &relay{requester: from, seq: p.Seq, target: p.Target, at: now}
 	n.send(now, p.Target, Packet{Kind: Ping, Seq: seq}, false)
 }
 
-// acknowledge handles the answer to a probe, of this node or relayed for another.
-func (n *Node) acknowledge(now time.Duration, from Peer, p Packet) {
+// handleAck handles the response to a probe of this node or to a relayed probe.
+func (n *Node) handleAck(now time.Duration, from Peer, p Packet) {
 	if r := n.relays[p.Seq]; r != nil && r.target == from {
 		delete(n.relays, p.Seq)
-		n.send(now, r.asked, Packet{Kind: Ack, Seq: r.seq, Target: r.target}, false)
+		n.send(now, r.requester, Packet{Kind: Ack, Seq: r.seq, Target: r.target}, false)
 	}
-	if q := n.probe; q != nil && q.seq == p.Seq && (from == q.target || p.Target == q.target) && !q.done {
-		q.done = true
+	if q := n.probe; q != nil && q.seq == p.Seq && (from == q.target || p.Target == q.target) && !q.acked {
+		q.acked = true
 		n.adjustHealth(-1)
 	}
 }
 
-// valid reports whether an update is accepted. Others may raise a member's incarnation a little, as it does itself when
-// it refutes; a larger gap, as after a lost disk, is accepted only from the member itself: nobody can use up the
-// incarnations of another.
+// valid reports whether an update is accepted. A third node may raise a member's incarnation by a small amount, as
+// the member itself does when it refutes. A larger gap, for example after the member lost its disk, is accepted only
+// from the member itself, so that no other node can exhaust its incarnations.
 func (n *Node) valid(from Peer, u Update) bool {
 	if u.Member != n.settings.Self && !n.names[u.Member] {
 		return false
@@ -82,12 +85,12 @@
 	if m := n.members[u.Member]; m != nil {
 		known = m.Incarnation
 	} else if u.Member != n.settings.Self {
-		known = u.Incarnation // any is accepted for a member that is not known
+		known = u.Incarnation // any incarnation is accepted for an unknown member
 	}
 	return from == u.Member || u.Incarnation <= known || u.Incarnation-known <= maxIncarnationGap
 }
 
-// merge applies an update of another node to the view.
+// merge applies an update from another node to the view.
 func (n *Node) merge(now time.Duration, from Peer, u Update) {
 	if !n.valid(from, u) {
 		n.counts.Invalid++
@@ -99,7 +102,7 @@
 	}
 	m := n.members[u.Member]
 	if m == nil {
-		n.add(now, u)
+		n.addMember(now, u)
 		return
 	}
 	switch {
@@ -118,51 +121,52 @@
 	n.broadcast(u)
 }
 
-// add adds a member that was not known.
-func (n *Node) add(now time.Duration, u Update) {
+// addMember adds a member that was unknown.
+func (n *Node) addMember(now time.Duration, u Update) {
 	if u.Status >= Dead {
-		return // it was never known here, and its absence changes nothing
+		return // the member is unknown here, so its departure changes nothing
 	}
 	m := &member{since: now}
 	if u.Status == Suspect {
-		m.suspected = map[Peer]bool{u.From: true}
+		m.suspectedBy = map[Peer]bool{u.From: true}
 	}
-	n.put(m, u)
+	n.set(m, u)
 	n.broadcast(m.Update)
 }
 
-// setStatus changes the state of a member, and ends a suspicion of it.
+// setStatus changes the status of a member and clears the suspicion of it.
 func (n *Node) setStatus(now time.Duration, m *member, u Update) {
 	if m.Status != u.Status {
 		m.since = now
 	}
-	n.put(m, u)
-	m.suspected = nil
+	n.set(m, u)
+	m.suspectedBy = nil
 }
 
-// suspect starts a suspicion of a member.
+// suspect starts a suspicion of a member and broadcasts it.
 func (n *Node) suspect(now time.Duration, m *member, u Update) {
 	n.setStatus(now, m, u)
 	m.since = now
-	m.suspected = map[Peer]bool{u.From: true}
+	m.suspectedBy = map[Peer]bool{u.From: true}
 	n.broadcast(u)
 }
 
-// confirm adds one more member that suspects, and broadcasts it while it shortens the suspicion.
+// confirm adds another member to a suspicion, and broadcasts the confirmation if it shortens the suspicion.
 func (n *Node) confirm(m *member, u Update) {
-	if !m.suspected[u.From] && len(m.suspected) <= n.settings.Confirm {
-		m.suspected[u.From] = true
+	if !m.suspectedBy[u.From] && len(m.suspectedBy) <= n.settings.Confirmations {
+		m.suspectedBy[u.From] = true
 		n.broadcast(u)
 	}
 }
 
-// refute answers a suspicion of this node itself, under a higher incarnation.
+// refute responds to an update that claims this node is suspected, dead or has a higher incarnation: it broadcasts
+// that the node is alive, with a higher incarnation.
 func (n *Node) refute(u Update) {
 	switch {
 	case n.leaving, u.Incarnation < n.incarnation, u.Status == Alive && u.Incarnation == n.incarnation:
 		return
 	}
-	// Suspected, declared dead, or known by an incarnation that it does not have any more.
+	// The node is suspected, declared dead, or known by an incarnation that it no longer has.
 	n.incarnation = u.Incarnation + 1
 	n.counts.Refutations++
 	if u.Status == Suspect {
--- a/decide/membership/send.go
+++ b/decide/membership/send.go
@@ -2,18 +2,18 @@
 
 import "time"
 
-// answerShare is the part of the ceiling that is reserved for answers, as a divisor.
-const answerShare = 4
+// responseReserveDivisor determines the part of the packet rate limit that is reserved for responses: one quarter.
+const responseReserveDivisor = 4
 
-// send queues a packet with as many updates as fit, unless the ceiling is reached. Answers may use all of the ceiling;
-// probes leave a quarter of it to answers.
+// send queues a packet with as many updates as fit, unless the rate limit is reached. Responses may use the whole
+// limit; probes leave a quarter of it to responses.
 func (n *Node) send(now time.Duration, to Peer, p Packet, differs bool) {
 	if s := now.Truncate(time.Second); s != n.sentSecond {
 		n.sentSecond, n.sentCount = s, 0
 	}
 	ceiling := n.settings.Datagrams
 	if p.Kind == Ping || p.Kind == PingReq {
-		ceiling -= ceiling / answerShare
+		ceiling -= ceiling / responseReserveDivisor
 	}
 	if n.sentCount >= ceiling {
 		n.counts.Dropped++
@@ -26,13 +26,13 @@
 	n.outbox = append(n.outbox, Outgoing{to, p})
 }
 
-// PacketFor returns a packet without an answer for data that travels beside the updates, false if the ceiling leaves no
-// capacity for it: a quarter of it is reserved for answers.
+// PacketFor returns a packet of kind Gossip, which requests no response, for data that is sent along with updates. It
+// returns false if the rate limit has no capacity left: a quarter of it is reserved for responses.
 func (n *Node) PacketFor(now time.Duration, to Peer) (Outgoing, bool) {
 	if s := now.Truncate(time.Second); s != n.sentSecond {
 		n.sentSecond, n.sentCount = s, 0
 	}
-	if n.sentCount >= n.settings.Datagrams-n.settings.Datagrams/answerShare {
+	if n.sentCount >= n.settings.Datagrams-n.settings.Datagrams/responseReserveDivisor {
 		return Outgoing{}, false
 	}
 	n.send(now, to, Packet{Kind: Gossip}, false)
@@ -40,12 +40,12 @@
 	return out[0], true
 }
 
-// flush returns the packets to send, and empties the outbox.
+// flush returns the queued packets and empties the outbox.
 func (n *Node) flush() []Outgoing {
 	out := n.outbox
 	n.outbox = nil
 	return out
 }
 
-// nextSeq returns the number of the next probe.
+// nextSeq returns the sequence number of the next probe.
 func (n *Node) nextSeq() uint32 { n.seq++; return n.seq }
--- a/decide/membership/view.go
+++ b/decide/membership/view.go
@@ -2,42 +2,43 @@
 
 import "slices"
 
-// view is the state of the other members, with the lists and the sum that each packet needs, so that a packet costs the
-// same whatever the size of the cluster.
+// view is the state of the other members. It maintains the lists and the hash that each packet needs, so that the
+// cost of a packet does not depend on the size of the cluster.
 type view struct {
 	members map[Peer]*member
-	all     []Peer // all known members; these lists are in order
+	all     []Peer // all known members; this list and the next three are sorted
 	present []Peer // alive or suspected
 	suspect []Peer
 	dead    []Peer
-	sum     uint64 // over those present, whatever their order
+	hash    uint64 // hash of the present members, independent of their order
 }
 
-// put sets the state of a member, new or known.
-func (v *view) put(m *member, u Update) {
+// set sets the state of a new or known member.
+func (v *view) set(m *member, u Update) {
 	if v.members[m.Member] == m {
-		v.lists(m, remove)
+		v.updateLists(m, remove)
 	} else {
 		v.members[u.Member] = m
 		v.all = insert(v.all, u.Member)
 	}
 	m.Update = u
-	v.lists(m, insert)
+	v.updateLists(m, insert)
 }
 
-// drop deletes a member.
-func (v *view) drop(p Peer) {
+// deleteMember deletes a member from the view.
+func (v *view) deleteMember(p Peer) {
 	if m := v.members[p]; m != nil {
-		v.lists(m, remove)
+		v.updateLists(m, remove)
 		v.all = remove(v.all, p)
 		delete(v.members, p)
 	}
 }
 
-func (v *view) lists(m *member, change func([]Peer, Peer) []Peer) {
+// updateLists applies change to each list that contains or should contain m, and toggles m in the hash.
+func (v *view) updateLists(m *member, change func([]Peer, Peer) []Peer) {
 	if m.Status <= Suspect {
 		v.present = change(v.present, m.Member)
-		v.sum ^= hashState(m.Member, Alive, m.Incarnation) // a suspicion comes and goes
+		v.hash ^= hashState(m.Member, Alive, m.Incarnation) // suspicions are transient and not part of the hash
 	}
 	switch m.Status {
 	case Suspect:
@@ -60,16 +61,16 @@
 	return slices.Delete(all, at, at+1)
 }
 
-// digest returns a hash of the node's view, whatever the order.
+// digest returns a hash of this node's view, independent of the order of members.
 func (n *Node) digest() uint64 {
-	sum := hashState(n.settings.Self, Alive, n.incarnation)
+	own := hashState(n.settings.Self, Alive, n.incarnation)
 	if n.leaving {
-		sum = hashState(n.settings.Self, Left, n.incarnation)
+		own = hashState(n.settings.Self, Left, n.incarnation)
 	}
-	return sum ^ n.sum
+	return own ^ n.hash
 }
 
-// hashState spreads the state of a member over 64 bits, by the finalizer of SplitMix64.
+// hashState hashes the state of a member to 64 bits with the finalizer of SplitMix64.
 func hashState(p Peer, s Status, inc uint64) uint64 {
 	x := uint64(p)<<32 ^ uint64(s)<<24 ^ inc*0x9e3779b97f4a7c15
 	x ^= x >> 30
--- a/decide/polling/polling.go
+++ b/decide/polling/polling.go
@@ -1,22 +1,24 @@
-// Package polling decides when a node polls a directory for its list of endpoints, and how long each call may take.
+// Package polling schedules a node's polls of a directory for its list of endpoints, and determines the timeout of
+// each call.
 //
-// It does no I/O and reads no clock. A [Schedule] is safe for concurrent use if its random source is; the node uses it
-// from one goroutine.
+// It does no I/O and reads no clock. A [Schedule] is safe for concurrent use if its random source is; the node uses
+// it from one goroutine.
 //
 // # The two bounds
 //
-// A directory that many nodes share rejects calls when it is overloaded, so calls are spread over time. But a change
-// counts as announced [PropagationBound] after the directory had it and could be reached, whatever happened to the calls
-// in between, so a node must not wait for too long. The second bound wins: calls are spread as far as it allows.
+// A directory that many nodes share rejects calls when it is overloaded, so calls are spread over time. However, a
+// change must reach each node within [PropagationBound] after the directory has it and is reachable, regardless of
+// the outcome of earlier calls, so the delay between calls is limited. The second bound takes precedence: calls are
+// spread only as far as it permits.
 //
-// A node polls with a call that waits for a change ([Schedule.ChangeTimeout]). Whatever happens to the call that is
-// outstanding when there is a change, the response to the call after it must come within the bound. From the start of
-// a call without a response to the response to the next call it takes
+// A node polls with a call that waits for a change ([Schedule.ChangeTimeout]). If a call is in progress when a change
+// occurs, then regardless of its outcome the response to the next call must arrive within the bound. If the first
+// call gets no response, the time from its start to the response to the next call is at most
 //
 //	ChangeTimeout + ResponseTimeout + NextDelay + ResponseTimeout, less than PropagationBound,
 //
-// and after a rejected call NextDelay + ResponseTimeout. A directory that rejects twice within that time cannot be
-// reached.
+// and after a rejected call it is NextDelay + ResponseTimeout. A directory that rejects two calls within that time
+// counts as unreachable.
 //
 // Start reading at [Schedule.NextDelay].
 package polling
@@ -27,59 +29,61 @@
 )
 
 const (
-	// PropagationBound is when a change counts as announced, from when the directory had it and could be reached.
+	// PropagationBound is the maximum time until a change counts as announced, from when the directory has the change
+	// and is reachable.
 	PropagationBound = 6 * time.Second
-	// MaxSpread is the longest time over which a call of each node is spread: a directory has the capacity for one
-	// call of each of its nodes in that time.
+	// MaxSpread is the maximum time over which one call per node is spread. A directory has the capacity for one call
+	// per node in that time.
 	MaxSpread = 8 * time.Second
-	// MinInterval is the shortest time between two calls of a node.
+	// MinInterval is the minimum time between two calls of a node.
 	MinInterval = 50 * time.Millisecond
 
-	// spreadPerNode is the time between two calls of all nodes together to a directory that rejects them, on average.
+	// spreadPerNode is the average time between two calls of the whole fleet to a directory that rejects them.
 	spreadPerNode = 100 * time.Millisecond
-	// smallFleetRetrySpan bounds the span that the delays of a small fleet are drawn from. A larger fleet has longer
-	// spans.
-	smallFleetRetrySpan = time.Second
-	// maxInitialDelay bounds the delay of a node that has just started with a list from before: a change that the list
-	// lacks may be older than PropagationBound.
+	// smallFleetRetryRange limits the range from which the delays of a small fleet are drawn. Larger fleets use
+	// longer ranges.
+	smallFleetRetryRange = time.Second
+	// maxInitialDelay limits the delay of a node that has just started with a previously stored list: a change that
+	// the list lacks may be older than PropagationBound.
 	maxInitialDelay = 500 * time.Millisecond
 
-	// listTimeout is how long a response may take that waits behind the calls of other nodes. It is longer than the 2 s
-	// within which an overloaded directory responds: a shorter one keeps the directory overloaded with repeated calls.
+	// listTimeout is the timeout of a response that may be queued behind the calls of other nodes. It is longer than
+	// the 2 s within which an overloaded directory responds: with a shorter timeout, repeated calls would keep the
+	// directory overloaded.
 	listTimeout = 2500 * time.Millisecond
-	// A call that waits for a change waits for changeTimeout, and then changeResponseTimeout for the response, which is
-	// not behind other calls.
+	// A call that waits for a change waits for changeTimeout and then changeResponseTimeout for the response, which
+	// is not queued behind other calls.
 	changeTimeout         = 1500 * time.Millisecond
 	changeResponseTimeout = 1200 * time.Millisecond
-	// An agent of the node's own responds at once.
+	// An agent that serves only this node responds immediately.
 	agentChangeTimeout   = 2 * time.Second
 	agentResponseTimeout = time.Second
 
-	// callOverhead is what a call takes in addition to its timeouts.
+	// callOverhead is the duration of a call in addition to its timeouts.
 	callOverhead = 200 * time.Millisecond
-	// maxRejectedSpan and maxTimeoutSpan bound the delay after a call that was rejected, and after one that ended in
-	// another way, by the two bounds of the package comment.
-	maxRejectedSpan = PropagationBound - listTimeout - MinInterval - callOverhead
-	maxTimeoutSpan  = PropagationBound - changeTimeout - changeResponseTimeout - listTimeout - MinInterval - callOverhead
+	// maxRejectedRange and maxTimeoutRange limit the range of the delay after a rejected call, and after a call that
+	// failed in another way. They follow from the two bounds in the package comment.
+	maxRejectedRange = PropagationBound - listTimeout - MinInterval - callOverhead
+	maxTimeoutRange  = PropagationBound - changeTimeout - changeResponseTimeout - listTimeout - MinInterval - callOverhead
 )
 
-// Schedule is the schedule of calls of one node.
+// Schedule determines the delays and timeouts of one node's calls.
 type Schedule struct {
-	// Nodes is the number of nodes that share the directory. With 1 or fewer the directory is an agent of the node's
-	// own.
+	// Nodes is the number of nodes that share the directory. If it is 1 or less, the directory is an agent that
+	// serves only this node.
 	Nodes int
-	// DrainGrace is how long calls to an endpoint may continue after the notice that it drains. After an outage of an
-	// agent the node must poll it within that time, or it would break the drain. 0 counts as a second.
+	// DrainGrace is how long calls to an endpoint may continue after the notification that it drains. After an outage
+	// of an agent, the node must poll the agent within that time to respect the drain. 0 means one second.
 	DrainGrace time.Duration
 	Rand       *rand.Rand
 }
 
-// InitialDelay returns the delay of the first call of a node that has a list from before. It is random, since nodes may
-// start together.
-func (s Schedule) InitialDelay() time.Duration { return s.random(min(s.spread()/2, maxInitialDelay)) }
+// InitialDelay returns the delay of the first call of a node that has a previously stored list. It is random, since
+// nodes may start at the same time.
+func (s Schedule) InitialDelay() time.Duration { return s.jitter(min(s.spread()/2, maxInitialDelay)) }
 
-// ChangeTimeout returns how long the directory may wait for a change before it responds, after so many failures in a
-// row. After a failure the node asks for the present state, which comes at once.
+// ChangeTimeout returns how long the directory may wait for a change before it responds, given the number of
+// consecutive failures. After a failure the node requests the current state, which the directory returns immediately.
 func (s Schedule) ChangeTimeout(failures int) time.Duration {
 	switch {
 	case failures > 0:
@@ -90,7 +94,8 @@
 	return changeTimeout
 }
 
-// ResponseTimeout returns how long a response may take in addition to ChangeTimeout, after so many failures in a row.
+// ResponseTimeout returns the time allowed for a response in addition to ChangeTimeout, given the number of
+// consecutive failures.
 func (s Schedule) ResponseTimeout(failures int) time.Duration {
 	switch {
 	case s.hasAgent() && failures > 0:
@@ -103,7 +108,8 @@
 	return changeResponseTimeout
 }
 
-// ListTimeout returns how long the response with the complete list may take, after so many failures in a row.
+// ListTimeout returns the time allowed for the response with the complete list, given the number of consecutive
+// failures.
 func (s Schedule) ListTimeout(failures int) time.Duration {
 	if s.hasAgent() {
 		return s.ResponseTimeout(failures)
@@ -113,29 +119,31 @@
 
 // NextDelay returns the delay before the next call after a failed one.
 //
-// Inputs: the failures in a row, whether the directory rejected the last call or it ended in another way, and the
-// number of nodes. The delay is drawn with full jitter from a span that doubles with the failures; in a fleet of more
-// than ten nodes it doubles once, from the time over which a call of each node is spread. The span is bounded so that
-// PropagationBound is kept, and for an agent of the node's own by a fifth of the drain grace.
+// It depends on the number of consecutive failures, on whether the directory rejected the last call or the call
+// failed in another way, and on the number of nodes. The delay is drawn with full jitter from a range that doubles
+// with each failure; in a fleet of more than ten nodes the range starts at the time over which one call per node is
+// spread, and doubles only once. The range is limited so that PropagationBound is met, and for an agent that serves
+// only this node by one fifth of DrainGrace.
 func (s Schedule) NextDelay(failures int, rejected bool) time.Duration {
-	span := min(MinInterval<<min(max(failures, 0), 10), max(smallFleetRetrySpan, 2*s.spread()))
-	if s.spread() > smallFleetRetrySpan {
-		span = s.spread() << min(max(failures-1, 0), 1)
+	delayRange := min(MinInterval<<min(max(failures, 0), 10), max(smallFleetRetryRange, 2*s.spread()))
+	if s.spread() > smallFleetRetryRange {
+		delayRange = s.spread() << min(max(failures-1, 0), 1)
 	}
 	switch {
 	case s.hasAgent():
-		span = min(span, s.drainGrace()/5)
+		delayRange = min(delayRange, s.drainGrace()/5)
 	case rejected:
-		span = min(span, maxRejectedSpan)
+		delayRange = min(delayRange, maxRejectedRange)
 	default:
-		span = min(span, maxTimeoutSpan)
+		delayRange = min(delayRange, maxTimeoutRange)
 	}
-	return MinInterval + s.random(span)
+	return MinInterval + s.jitter(delayRange)
 }
 
-// hasAgent reports whether the directory is an agent of the node's own.
+// hasAgent reports whether the directory is an agent that serves only this node.
 func (s Schedule) hasAgent() bool { return s.Nodes <= 1 }
 
+// drainGrace returns DrainGrace or its default.
 func (s Schedule) drainGrace() time.Duration {
 	if s.DrainGrace <= 0 {
 		return time.Second
@@ -143,12 +151,12 @@
 	return s.DrainGrace
 }
 
-// spread returns the time over which a call of each node is spread.
+// spread returns the time over which one call per node is spread.
 func (s Schedule) spread() time.Duration {
 	return time.Duration(min(max(1, s.Nodes), int(MaxSpread/spreadPerNode))) * spreadPerNode
 }
 
-// random returns a random duration below a span.
-func (s Schedule) random(span time.Duration) time.Duration {
-	return time.Duration(s.Rand.Int64N(int64(max(1, span))))
+// jitter returns a random duration in [0, limit).
+func (s Schedule) jitter(limit time.Duration) time.Duration {
+	return time.Duration(s.Rand.Int64N(int64(max(1, limit))))
 }
--- a/internal/gossip/state.go
+++ b/internal/gossip/state.go
@@ -116,10 +116,10 @@
 }
 
 // standings returns the reputations of peers in a status.
-func (s Status) standings() []evidence.Standing {
-	var all []evidence.Standing
+func (s Status) standings() []evidence.PeerReputation {
+	var all []evidence.PeerReputation
 	for name, t := range s.Trust {
-		all = append(all, evidence.Standing{Peer: evidence.Peer(PeerID(name)), Weight: t.Weight, Right: t.Right, Wrong: t.Wrong})
+		all = append(all, evidence.PeerReputation{Peer: evidence.Peer(PeerID(name)), Weight: t.Weight, Right: t.Right, Wrong: t.Wrong})
 	}
 	return all
 }
--- a/internal/gossip/status.go
+++ b/internal/gossip/status.go
@@ -34,7 +34,7 @@
 	for _, id := range n.core.Suspected() {
 		s.Suspected = append(s.Suspected, n.known[id])
 	}
-	for _, st := range n.core.Standings(n.now()) {
+	for _, st := range n.core.Reputations(n.now()) {
 		if name := n.names[membership.Peer(st.Peer)]; name != "" {
 			s.Trust[name] = TrustOfPeers{st.Weight, st.Right, st.Wrong}
 		}
