--- a/decide/evidence/assess.go
+++ b/decide/evidence/assess.go
@@ -66,8 +66,8 @@
 		}
 	}
 	quorum := Quorum(len(v.members) + 1)
-	heavyEnough := assessment.Down >= float64(quorum)*quorumWeight && assessment.Down > downToUpRatio*assessment.Up
-	if !v.succeededRecently(now, e) && assessment.Peers >= quorum && heavyEnough {
+	sufficientWeight := assessment.Down >= float64(quorum)*quorumWeight && assessment.Down > downToUpRatio*assessment.Up
+	if !v.succeededRecently(now, e) && assessment.Peers >= quorum && sufficientWeight {
 		assessment.Suspected, assessment.Share, assessment.TrialEvery = true, v.settings.Share, v.settings.TrialEvery
 	}
 	return assessment
--- a/decide/evidence/evidence_test.go
+++ b/decide/evidence/evidence_test.go
@@ -10,15 +10,15 @@
 )
 
 const (
-	ms     = time.Millisecond
-	second = time.Second
-	here   = 1
-	there  = 2
+	ms        = time.Millisecond
+	second    = time.Second
+	ownZone   = 1
+	otherZone = 2
 )
 
-// newEvaluator has so many members beside itself, and the endpoints 1 to 3.
+// newEvaluator returns an evaluator with the given number of other members, and endpoints 1 to 3.
 func newEvaluator(others int) *Evaluator {
-	v := New(Defaults(here))
+	v := New(Defaults(ownZone))
 	var peers []Peer
 	for i := range others {
 		peers = append(peers, Peer(i+1))
@@ -28,82 +28,85 @@
 	return v
 }
 
-// report reports that all calls of the last 100 ms failed, or that none did.
+// report returns a report that all calls of the last 100 ms failed, or that none failed.
 func report(p Peer, id Endpoint, at time.Duration, down bool) Report {
-	e := Report{Peer: p, Endpoint: id, Zone: here, From: at - 100*ms, To: at, Calls: 5}
+	e := Report{Peer: p, Endpoint: id, Zone: ownZone, From: at - 100*ms, To: at, Calls: 5}
 	if down {
 		e.Failed = 5
 	}
 	return e
 }
 
+// receive passes a report to the evaluator and checks the returned error.
 func receive(t *testing.T, v *Evaluator, now time.Duration, e Report, want error) {
 	t.Helper()
 	if err := v.Receive(now, e); !errors.Is(err, want) {
-		t.Errorf("peer %d of endpoint %d: %v, want %v", e.Peer, e.Endpoint, err, want)
+		t.Errorf("report of peer %d on endpoint %d: got error %v, want %v", e.Peer, e.Endpoint, err, want)
 	}
 }
 
-func TestQuorum(t *testing.T) {
+func TestQuorumByClusterSize(t *testing.T) {
 	for members, want := range map[int]int{1: 2, 2: 2, 5: 2, 8: 2, 9: 3, 10: 3, 13: 4, 61: 16, 1000: 16} {
 		if got := Quorum(members); got != want {
-			t.Errorf("%d members: %d, want %d", members, got, want)
+			t.Errorf("quorum of %d members: got %d, want %d", members, got, want)
 		}
 	}
 }
 
-// Three of nine others who see an endpoint failing slow it, and never stop it; two who collude do
-// nothing. An own call that is succeeded ends it at once, and those who were wrong lose half of their weight.
-func TestAssess(t *testing.T) {
+// An endpoint is suspected after failure reports by three of nine peers, but not by two, and its share stays above 0.
+// A successful call of this node ends the suspicion at once and halves the weights of the three peers, so that they
+// no longer form a quorum.
+func TestAssessSuspectsByQuorumUntilOwnSuccess(t *testing.T) {
 	v := newEvaluator(9)
 	receive(t, v, second, report(1, 1, second, true), nil)
 	receive(t, v, second, report(2, 1, second, true), nil)
 	if got := v.Assess(second, 1); got.Suspected || got.Share != 1 || got.Peers != 2 {
-		t.Errorf("two of nine: %+v", got)
+		t.Errorf("failure reports by two of nine peers: got %+v, want no suspicion", got)
 	}
 	receive(t, v, second, report(3, 1, second, true), nil)
 	if got := v.Assess(second, 1); !got.Suspected || got.Share <= 0 || got.Share >= 1 || got.TrialEvery <= 0 {
-		t.Errorf("three of nine: %+v", got)
+		t.Errorf("failure reports by three of nine peers: got %+v, want a suspicion with a share between 0 and 1", got)
 	}
 	if got := v.Assess(second, 2); got.Suspected {
-		t.Errorf("another endpoint: %+v", got)
+		t.Errorf("endpoint without reports: got %+v, want no suspicion", got)
 	}
 	v.ObserveCall(1100*ms, 1, 1050*ms, true)
 	if got := v.Assess(1100*ms, 1); got.Suspected || got.Share != 1 {
-		t.Errorf("an own call was succeeded: %+v", got)
+		t.Errorf("after a successful call of this node: got %+v, want no suspicion and share 1", got)
 	}
 	for _, s := range v.Reputations(1100 * ms)[:3] {
 		if s.Weight > 0.26 || s.Wrong != 1 || s.Right != 0 || !s.Member {
-			t.Errorf("%+v", s)
+			t.Errorf("reputation after a refuted report: got %+v, want a member with at most half the weight and one wrong report", s)
 		}
 	}
-	v.ObserveCall(1200*ms, 1, 1150*ms, true) // the same report is evaluated once
+	v.ObserveCall(1200*ms, 1, 1150*ms, true) // a report is evaluated only once
 	if w := v.Reputations(1200 * ms)[0].Weight; w < 0.25 {
-		t.Errorf("evaluated twice for one report: %v", w)
+		t.Errorf("after a second call: got weight %v, want at least 0.25, as a report is evaluated only once", w)
 	}
-	// Their evidence counts no more than half now, also once the own call is old.
+	// Their weights remain reduced after the successful call has become too old to count.
 	for p := range Peer(3) {
 		receive(t, v, 4*second, report(p+1, 2, 4*second, true), nil)
 	}
 	if got := v.Assess(4*second, 2); got.Suspected || got.Peers != 3 {
-		t.Errorf("three who were wrong: %+v", got)
+		t.Errorf("failure reports by three recently wrong peers: got %+v, want no suspicion", got)
 	}
-	// Those who see it answer outweigh.
+	// Reports of successes outweigh as many reports of failures.
 	for p := range Peer(6) {
 		receive(t, v, 5*second, report(p+4, 3, 5*second, p < 3), nil)
 	}
 	if got := v.Assess(5*second, 3); got.Suspected || got.Peers != 3 || got.Up == 0 {
-		t.Errorf("three against three: %+v", got)
+		t.Errorf("three failure reports against three success reports: got %+v, want no suspicion", got)
 	}
 }
 
-// What is old, from the future, repeated, of no member, of no endpoint, or senseless changes nothing.
-func TestRejectedReports(t *testing.T) {
+// Reports that are too old, in the future, repeated, malformed, or from a non-member or on an unknown endpoint are
+// rejected and change nothing.
+func TestReceiveRejectsInvalidReports(t *testing.T) {
 	v := newEvaluator(9)
 	now := time.Minute
 	for i, c := range []struct {
-		f    func(*Report)
-		want error
+		modify func(*Report)
+		want   error
 	}{
 		{func(e *Report) { e.Peer = 99 }, ErrNotMember},
 		{func(e *Report) { e.Endpoint = 99 }, ErrUnknownEndpoint},
@@ -116,44 +119,44 @@
 		{func(e *Report) { e.Calls, e.Failed = 0, 0 }, ErrInvalid},
 	} {
 		e := report(1, 1, now, true)
-		c.f(&e)
+		c.modify(&e)
 		if err := v.Receive(now, e); !errors.Is(err, c.want) {
-			t.Errorf("%d: %v, want %v", i, err, c.want)
+			t.Errorf("case %d: got error %v, want %v", i, err, c.want)
 		}
 	}
 	if _, reports, _ := v.Size(); reports != 0 {
-		t.Errorf("%d reports were kept", reports)
+		t.Errorf("got %d stored reports after rejections, want 0", reports)
 	}
 	receive(t, v, now, report(1, 1, now, false), nil)
-	receive(t, v, now, report(1, 1, now, true), ErrRepeated)         // the same moment
+	receive(t, v, now, report(1, 1, now, true), ErrRepeated)         // same time
 	receive(t, v, now, report(1, 1, now-second, true), ErrRepeated)  // replayed
 	receive(t, v, now+second, report(1, 1, now+second, true), nil)   // newer
-	receive(t, v, now+second, report(1, 1, now, false), ErrRepeated) // what it said before
+	receive(t, v, now+second, report(1, 1, now, false), ErrRepeated) // older than the stored report
 	receive(t, v, now+20*second, report(1, 1, now+second, true), ErrStale)
 }
 
-// An outage in the other zone means nothing for this one's route.
-func TestOtherBuilding(t *testing.T) {
+// Reports from another availability zone do not count, and calls of this node do not evaluate them.
+func TestReportsFromOtherZoneDoNotCount(t *testing.T) {
 	v := newEvaluator(9)
 	for p := range Peer(9) {
 		e := report(p+1, 1, second, true)
-		e.Zone = there
+		e.Zone = otherZone
 		receive(t, v, second, e, nil)
 	}
 	if got := v.Assess(second, 1); got.Suspected || got.Peers != 0 {
-		t.Errorf("%+v", got)
+		t.Errorf("got %+v, want no suspicion and no peers", got)
 	}
 	v.ObserveCall(1100*ms, 1, 1050*ms, true)
 	for _, s := range v.Reputations(1100 * ms) {
 		if s.Wrong > 0 {
-			t.Errorf("evaluated by another route: %+v", s)
+			t.Errorf("got %+v, want no evaluation of reports of another zone", s)
 		}
 	}
 }
 
-// A peer that reports truthfully for an hour has credit for a few lies at most; and what it lost comes
-// back in time, no further than the weight of a stranger.
-func TestLiarWithCredit(t *testing.T) {
+// A peer that reported truthfully for an hour loses its influence after a few false reports. Its weight recovers over
+// time, but not beyond the initial weight, and rejoining does not raise it.
+func TestFalseReportsReduceHighWeight(t *testing.T) {
 	v := newEvaluator(9)
 	now := time.Duration(0)
 	step := func(down, succeeded bool) float64 {
@@ -167,46 +170,47 @@
 		weight = step(false, true)
 	}
 	if weight != 1 {
-		t.Errorf("after an hour of truth %v", weight)
+		t.Errorf("after an hour of confirmed reports: got weight %v, want 1", weight)
 	}
 	now += time.Hour
 	if w := v.Reputations(now)[0].Weight; w != 1 {
-		t.Errorf("what it earned went by itself: %v", w)
+		t.Errorf("an hour without reports: got weight %v, want 1", w)
 	}
-	lies := 0
+	falseReports := 0
 	for weight >= minCountedWeight {
 		weight = step(true, true)
-		lies++
+		falseReports++
 	}
-	if lies > 4 {
-		t.Errorf("it counted for %d lies", lies)
+	if falseReports > 4 {
+		t.Errorf("the peer counted for %d false reports, want at most 4", falseReports)
 	}
 	for range 10 {
 		weight = step(true, true)
 	}
 	if weight < minWeight || weight > minCountedWeight {
-		t.Errorf("a steady liar weighs %v", weight)
+		t.Errorf("peer that only reports falsely: got weight %v, want between the minimum and the minimum counted weight", weight)
 	}
 	now += 10 * time.Minute
 	if w := v.Reputations(now)[0].Weight; w < 0.24 || w > 0.27 {
-		t.Errorf("ten minutes later it weighs %v", w)
+		t.Errorf("ten minutes later: got weight %v, want 0.24 to 0.27", w)
 	}
 	now += 100 * time.Hour
 	if w := v.Reputations(now)[0].Weight; w < 0.499 || w > 0.5 {
-		t.Errorf("days later it weighs %v", w)
+		t.Errorf("100 hours later: got weight %v, want 0.499 to 0.5", w)
 	}
-	// Leaving and coming back buys no trust.
+	// Leaving and rejoining does not change the weight.
 	weight = step(true, true)
 	v.SetMembers(now, []Peer{2, 3})
 	v.SetMembers(now, []Peer{1, 2, 3})
 	if w := v.Reputations(now)[0].Weight; w != weight {
-		t.Errorf("it left with %v and came back with %v", weight, w)
+		t.Errorf("the weight was %v before leaving and %v after rejoining", weight, w)
 	}
 }
 
-// A peer that reports on everything has its quota, and takes nothing from the others; all that is stored is bounded.
-func TestBounds(t *testing.T) {
-	s := Defaults(here)
+// A peer that reports on every endpoint is limited to its quota and does not reduce the quotas of others. Stored
+// endpoints, reports and weights are bounded.
+func TestStoredStateIsBounded(t *testing.T) {
+	s := Defaults(ownZone)
 	s.MaxEndpoints, s.MaxPeers, s.MaxReports = 50, 4, 40
 	v := New(s)
 	var ids []Endpoint
@@ -224,46 +228,46 @@
 	}
 	receive(t, v, second, report(2, 30, second, true), nil)
 	receive(t, v, second, report(5, 1, second, true), ErrNotMember)
-	receive(t, v, 12*second, report(1, 30, 12*second, true), nil) // the older ones are deleted
+	receive(t, v, 12*second, report(1, 30, 12*second, true), nil) // expired reports are deleted
 	if endpoints, reports, _ := v.Size(); endpoints != 50 || reports != 2 {
-		t.Errorf("%d endpoints, %d reports", endpoints, reports)
+		t.Errorf("got %d endpoints and %d reports, want 50 and 2", endpoints, reports)
 	}
-	v.SetEndpoints(ids[:20]) // 30 is removed: its reports free their quota
+	v.SetEndpoints(ids[:20]) // removing endpoint 30 frees the quota that its reports used
 	for id := range Endpoint(10) {
 		receive(t, v, 13*second, report(1, id, 13*second, true), nil)
 	}
-	// Peers come and go without end.
+	// The set of members changes many times.
 	for i := range Peer(100) {
 		v.SetMembers(14*second, []Peer{i + 10, i + 11})
 		receive(t, v, 14*second, report(i+10, 1, 14*second, true), nil)
 	}
 	if _, reports, weights := v.Size(); reports > 40 || weights > 2*s.MaxPeers+2 {
-		t.Errorf("%d reports, %d weights", reports, weights)
+		t.Errorf("got %d reports and %d weights, want at most 40 and %d", reports, weights, 2*s.MaxPeers+2)
 	}
 }
 
-// Whatever fewer peers than a quorum report, in any order and with any content, no endpoint is slowed; and
-// whatever all report, one whose last own call succeeded is not, and none is stopped.
-func TestNoPeerBelowQuorumSlows(t *testing.T) {
+// Reports of fewer peers than a quorum never change the share of an endpoint, in any order and with any content. No
+// reports change it while this node's last call succeeded recently, and it never falls to 0.
+func TestReportsBelowQuorumDoNotChangeShare(t *testing.T) {
 	suspected := 0
 	rapid.Check(t, func(t *rapid.T) {
 		others := rapid.IntRange(1, 20).Draw(t, "others")
 		v := newEvaluator(others)
-		liars := rapid.IntRange(0, others).Draw(t, "liars")
-		belowQuorum := liars < Quorum(others+1)
+		reporters := rapid.IntRange(0, others).Draw(t, "reporters")
+		belowQuorum := reporters < Quorum(others+1)
 		now := time.Minute
 		succeeded := map[Endpoint]time.Duration{}
 		for range rapid.IntRange(1, 80).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(0, 3000).Draw(t, "pause")) * ms
 			id := Endpoint(rapid.IntRange(1, 3).Draw(t, "endpoint"))
-			if liars > 0 && rapid.IntRange(0, 4).Draw(t, "who") > 0 {
+			if reporters > 0 && rapid.IntRange(0, 4).Draw(t, "report or call") > 0 {
 				_ = v.Receive(now, Report{
-					Peer: Peer(rapid.IntRange(1, liars).Draw(t, "peer")), Endpoint: id,
+					Peer: Peer(rapid.IntRange(1, reporters).Draw(t, "peer")), Endpoint: id,
 					Zone: rapid.IntRange(0, 2).Draw(t, "zone"), From: now - time.Duration(rapid.IntRange(-1, 12000).Draw(t, "from"))*ms,
 					To: now - time.Duration(rapid.IntRange(-2000, 12000).Draw(t, "to"))*ms, Calls: rapid.IntRange(-1, 1<<40).Draw(t, "calls"),
 					Failed: rapid.IntRange(-1, 1<<40).Draw(t, "failed"),
 				})
-				_ = v.Receive(now, report(Peer(rapid.IntRange(1, liars).Draw(t, "peer")), id, now, true))
+				_ = v.Receive(now, report(Peer(rapid.IntRange(1, reporters).Draw(t, "peer")), id, now, true))
 			} else {
 				ok := rapid.Bool().Draw(t, "ok")
 				v.ObserveCall(now, id, now-time.Duration(rapid.IntRange(0, 2000).Draw(t, "took"))*ms, ok)
@@ -278,22 +282,22 @@
 				}
 				at, ok := succeeded[id]
 				if got.Share <= 0 || got.Share < 1 && (got.TrialEvery <= 0 || belowQuorum || ok && now-at <= v.settings.OwnSuccessTime) {
-					t.Fatalf("%d of %d others lie; the own call succeeded %v ago (%t): %+v", liars, others, now-at, ok, got)
+					t.Fatalf("%d of %d other members report, last successful call of this node %v ago (%t): got %+v", reporters, others, now-at, ok, got)
 				}
 			}
 			for _, s := range v.Reputations(now) {
 				if s.Weight < minWeight || s.Weight > 1 {
-					t.Fatalf("%+v", s)
+					t.Fatalf("got %+v, want a weight from %v to 1", s, minWeight)
 				}
 			}
 		}
 	})
 	if suspected == 0 {
-		t.Error("nothing was ever suspected")
+		t.Error("no endpoint was suspected in any run")
 	}
 }
 
-// BenchmarkReceiveAndAssess measures what a report costs at 5,000 endpoints and ten members.
+// BenchmarkReceiveAndAssess measures the cost of a report with 5,000 endpoints and ten members.
 func BenchmarkReceiveAndAssess(b *testing.B) {
 	v := newEvaluator(9)
 	var ids []Endpoint
@@ -315,58 +319,60 @@
 	b.ReportMetric(float64(reports), fmt.Sprint("reports/", endpoints, "_endpoints"))
 }
 
-// One that was out is back for this node once a peer of weight saw it answer after all that failed; the call that
-// follows evaluates it, and a liar does not count again soon. While the own last call was succeeded nothing is back.
-func TestRecovered(t *testing.T) {
+// An endpoint that failed has recovered once a peer of sufficient weight reports a success after all failures. The
+// next call evaluates that peer, and one that reported falsely does not count again soon. An endpoint has not
+// recovered while this node's last call succeeded after a failure.
+func TestRecoveredAfterPeerReportsLaterSuccess(t *testing.T) {
 	v := newEvaluator(9)
 	if v.Recovered(second, 1) {
-		t.Error("one that nobody saw failing is back")
+		t.Error("got a recovery of an endpoint without failures")
 	}
 	v.ObserveCall(second, 1, second-ms, false)
 	receive(t, v, second, report(1, 1, second-ms, false), nil)
 	if v.Recovered(second, 1) {
-		t.Error("back by an answer from before the failure")
+		t.Error("got a recovery by a success before the failure")
 	}
 	receive(t, v, 2*second, report(1, 1, 2*second, false), nil)
 	if !v.Recovered(2*second, 1) {
-		t.Error("not back, though a peer saw it answer after the failure")
+		t.Error("got no recovery although a peer reported a success after the failure")
 	}
 	receive(t, v, 3*second, report(2, 1, 2*second+ms, true), nil)
 	if v.Recovered(3*second, 1) {
-		t.Error("back, though another saw it fail since")
+		t.Error("got a recovery although another peer reported a later failure")
 	}
 	receive(t, v, 4*second, report(1, 1, 4*second, false), nil)
-	v.ObserveCall(5*second, 1, 5*second-ms, false) // the lie is found out
+	v.ObserveCall(5*second, 1, 5*second-ms, false) // refutes the report
 	receive(t, v, 6*second, report(1, 1, 6*second, false), nil)
 	if v.Recovered(6*second, 1) {
-		t.Error("one that lied is believed again at once")
+		t.Error("got a recovery by a peer whose last report was refuted")
 	}
 	receive(t, v, 7*second, report(3, 1, 7*second, false), nil)
 	v.ObserveCall(8*second, 1, 8*second-ms, true)
 	if v.Recovered(8*second, 1) {
-		t.Error("back, though the own call succeeded")
+		t.Error("got a recovery although the last call of this node succeeded")
 	}
-	abroad := report(4, 2, 9*second, false)
-	abroad.Zone++
+	otherZoneReport := report(4, 2, 9*second, false)
+	otherZoneReport.Zone++
 	v.ObserveCall(8*second, 2, 8*second-ms, false)
-	receive(t, v, 9*second, abroad, nil)
+	receive(t, v, 9*second, otherZoneReport, nil)
 	if v.Recovered(9*second, 2) {
-		t.Error("back by what another zone saw")
+		t.Error("got a recovery by a report of another zone")
 	}
 }
 
-// Weights outlast a restart: a node that starts again does not trust a liar anew.
-func TestRestore(t *testing.T) {
+// Reputations survive a restart: an evaluator with restored reputations gives a peer that reported falsely the same
+// weight as before. Invalid saved reputations are skipped.
+func TestRestoreKeepsReputationsAndSkipsInvalid(t *testing.T) {
 	v := newEvaluator(9)
 	for i := range time.Duration(4) {
 		at := (2*i + 1) * second
 		receive(t, v, at, report(5, 1, at, true), nil)
 		v.ObserveCall(at+2*ms, 1, at+ms, true)
 	}
-	had := v.Reputations(10 * second)
-	again := newEvaluator(9)
-	again.Restore(10*second, append(had, PeerReputation{Peer: 99, Weight: 7}, PeerReputation{Peer: 98}))
-	if got := again.Reputations(10 * second); fmt.Sprint(got) != fmt.Sprint(had) {
-		t.Errorf("%+v, had %+v", got, had)
+	want := v.Reputations(10 * second)
+	restored := newEvaluator(9)
+	restored.Restore(10*second, append(want, PeerReputation{Peer: 99, Weight: 7}, PeerReputation{Peer: 98}))
+	if got := restored.Reputations(10 * second); fmt.Sprint(got) != fmt.Sprint(want) {
+		t.Errorf("got %+v, want %+v", got, want)
 	}
 }
--- a/decide/membership/membership_test.go
+++ b/decide/membership/membership_test.go
@@ -18,10 +18,10 @@
 	second = time.Second
 )
 
-// event is a packet that arrives, or a tick of a node.
+// event is the arrival of a packet or a tick of a node.
 type event struct {
 	at   time.Duration
-	n    int // of two at one time the first made comes first
+	seq  int // order of events at the same time
 	to   Peer
 	from Peer // 0 for a tick
 	Packet
@@ -31,7 +31,7 @@
 
 func (e events) Len() int { return len(e) }
 func (e events) Less(i, k int) bool {
-	return e[i].at < e[k].at || e[i].at == e[k].at && e[i].n < e[k].n
+	return e[i].at < e[k].at || e[i].at == e[k].at && e[i].seq < e[k].seq
 }
 func (e events) Swap(i, k int) { e[i], e[k] = e[k], e[i] }
 func (e *events) Push(x any)   { *e = append(*e, x.(event)) }
@@ -42,27 +42,27 @@
 	return x
 }
 
-// cluster is a tier on virtual time.
+// cluster simulates nodes on virtual time.
 type cluster struct {
-	rng    *rand.Rand
-	now    time.Duration
-	nodes  map[Peer]*Node
-	plain  bool          // the SWIM paper's protocol, without Lifeguard's refinements
-	paused map[Peer]bool // neither sends nor receives; what comes to it waits
-	wait   map[Peer][]event
-	names  []Peer // that have a key
-	cut    func(a, b Peer) bool
-	loss   float64
-	queue  events
-	n      int
-	most   map[Peer]int // packets in the present second
-	peak   int          // the most packets of one node in a second
-	sec    time.Duration
-	total  int
+	rng            *rand.Rand
+	now            time.Duration
+	nodes          map[Peer]*Node
+	plainSWIM      bool          // without Lifeguard's refinements
+	paused         map[Peer]bool // neither send nor receive; packets to them are delayed until resume
+	delayed        map[Peer][]event
+	names          []Peer // nodes that have a key
+	partitioned    func(a, b Peer) bool
+	loss           float64
+	queue          events
+	nextSeq        int
+	sentThisSecond map[Peer]int // packets by node
+	maxPerSecond   int          // packets of one node
+	currentSecond  time.Duration
+	totalSent      int
 }
 
-// ticks is how often a node is called.
-const ticks = 100 * ms
+// tickInterval is the time between two ticks of a node.
+const tickInterval = 100 * ms
 
 func newCluster(tb testing.TB, seed uint64) *cluster {
 	tb.Helper()
@@ -72,107 +72,110 @@
 		names = append(names, p+1)
 	}
 	return &cluster{
-		names: names, rng: rand.New(rand.NewPCG(seed, 1)), nodes: map[Peer]*Node{}, paused: map[Peer]bool{}, wait: map[Peer][]event{}, most: map[Peer]int{},
-		cut: func(Peer, Peer) bool { return false },
+		names: names, rng: rand.New(rand.NewPCG(seed, 1)), nodes: map[Peer]*Node{}, paused: map[Peer]bool{}, delayed: map[Peer][]event{}, sentThisSecond: map[Peer]int{},
+		partitioned: func(Peer, Peer) bool { return false },
 	}
 }
 
-func (w *cluster) push(e event) {
-	w.n++
-	e.n = w.n
-	heap.Push(&w.queue, e)
+func (c *cluster) push(e event) {
+	c.nextSeq++
+	e.seq = c.nextSeq
+	heap.Push(&c.queue, e)
 }
 
-func (w *cluster) start(p Peer, inc uint64, seeds ...Peer) *Node {
+// startNode starts a new process of a node.
+func (c *cluster) startNode(p Peer, inc uint64, seeds ...Peer) *Node {
 	s := Defaults(p, seeds...)
 	s.Incarnation = inc
-	if w.plain { // suspicions last the least from the start, and nobody takes itself for unwell
+	if c.plainSWIM { // all suspicions have the minimum duration, and local health stays 0
 		s.Beta, s.MaxHealth = 1, 0
 	}
-	fresh := w.nodes[p] == nil
-	w.nodes[p] = New(s, rand.New(rand.NewPCG(w.rng.Uint64(), uint64(p))))
-	w.nodes[p].SetNames(w.names)
-	if fresh {
-		w.push(event{at: w.now + time.Duration(w.rng.Int64N(int64(ticks))), to: p})
+	isNew := c.nodes[p] == nil
+	c.nodes[p] = New(s, rand.New(rand.NewPCG(c.rng.Uint64(), uint64(p))))
+	c.nodes[p].SetNames(c.names)
+	if isNew {
+		c.push(event{at: c.now + time.Duration(c.rng.Int64N(int64(tickInterval))), to: p})
 	}
-	return w.nodes[p]
+	return c.nodes[p]
 }
 
-func (w *cluster) carry(from Peer, out []Outgoing) {
-	if s := w.now.Truncate(second); s != w.sec {
-		w.sec = s
-		clear(w.most)
+// send counts packets and queues those that are not lost for delivery.
+func (c *cluster) send(from Peer, out []Outgoing) {
+	if s := c.now.Truncate(second); s != c.currentSecond {
+		c.currentSecond = s
+		clear(c.sentThisSecond)
 	}
 	for _, o := range out {
-		w.total++
-		w.most[from]++
-		w.peak = max(w.peak, w.most[from])
-		if w.rng.Float64() < w.loss || w.cut(from, o.To) {
+		c.totalSent++
+		c.sentThisSecond[from]++
+		c.maxPerSecond = max(c.maxPerSecond, c.sentThisSecond[from])
+		if c.rng.Float64() < c.loss || c.partitioned(from, o.To) {
 			continue
 		}
-		w.push(event{at: w.now + ms + time.Duration(w.rng.Int64N(int64(20*ms))), to: o.To, from: from, Packet: o.Packet})
+		c.push(event{at: c.now + ms + time.Duration(c.rng.Int64N(int64(20*ms))), to: o.To, from: from, Packet: o.Packet})
 	}
 }
 
-// run lets time pass.
-func (w *cluster) run(d time.Duration) {
-	end := w.now + d
-	for len(w.queue) > 0 && w.queue[0].at <= end {
-		e := heap.Pop(&w.queue).(event)
-		w.now = e.at
-		n := w.nodes[e.to]
+// run advances the virtual time by d.
+func (c *cluster) run(d time.Duration) {
+	end := c.now + d
+	for len(c.queue) > 0 && c.queue[0].at <= end {
+		e := heap.Pop(&c.queue).(event)
+		c.now = e.at
+		n := c.nodes[e.to]
 		if n == nil {
-			continue // it is gone
+			continue // the node has stopped
 		}
-		if w.paused[e.to] {
+		if c.paused[e.to] {
 			if e.from == 0 {
-				e.at = w.now + ticks
-				w.push(e)
-			} else if len(w.wait[e.to]) < 1000 {
-				w.wait[e.to] = append(w.wait[e.to], e)
+				e.at = c.now + tickInterval
+				c.push(e)
+			} else if len(c.delayed[e.to]) < 1000 {
+				c.delayed[e.to] = append(c.delayed[e.to], e)
 			}
 			continue
 		}
 		if e.from == 0 {
-			w.carry(e.to, n.Tick(w.now))
-			w.push(event{at: w.now + ticks, to: e.to})
+			c.send(e.to, n.Tick(c.now))
+			c.push(event{at: c.now + tickInterval, to: e.to})
 			continue
 		}
-		w.carry(e.to, n.Receive(w.now, e.from, e.Packet))
+		c.send(e.to, n.Receive(c.now, e.from, e.Packet))
 	}
-	w.now = end
+	c.now = end
 }
 
-func (w *cluster) resume(p Peer) {
-	w.paused[p] = false
-	for _, e := range w.wait[p] {
-		e.at = w.now
-		w.push(e)
+// resume ends the pause of a node and delivers the delayed packets.
+func (c *cluster) resume(p Peer) {
+	c.paused[p] = false
+	for _, e := range c.delayed[p] {
+		e.at = c.now
+		c.push(e)
 	}
-	delete(w.wait, p)
+	delete(c.delayed, p)
 }
 
-// until runs until something is so, and returns how long that took.
-func (w *cluster) until(tb testing.TB, most time.Duration, what string, ok func() bool) time.Duration {
+// waitUntil runs the simulation until ok returns true, and returns the time that this took.
+func (c *cluster) waitUntil(tb testing.TB, limit time.Duration, condition string, ok func() bool) time.Duration {
 	tb.Helper()
-	for from := w.now; w.now-from <= most; w.run(100 * ms) {
+	for from := c.now; c.now-from <= limit; c.run(100 * ms) {
 		if ok() {
-			return w.now - from
+			return c.now - from
 		}
 	}
-	tb.Fatalf("not within %v: %s", most, what)
+	tb.Fatalf("not within %v: %s", limit, condition)
 	return 0
 }
 
-// agree reports whether all nodes consider exactly all others alive.
-func (w *cluster) agree() bool {
-	for _, n := range w.nodes {
-		if len(n.present) != len(w.nodes)-1 {
+// converged reports whether every node considers all others, and no other node, present.
+func (c *cluster) converged() bool {
+	for _, n := range c.nodes {
+		if len(n.present) != len(c.nodes)-1 {
 			return false
 		}
 	}
-	all := slices.Sorted(maps.Keys(w.nodes))
-	for p, n := range w.nodes {
+	all := slices.Sorted(maps.Keys(c.nodes))
+	for p, n := range c.nodes {
 		if !slices.Equal(n.Present(), slices.DeleteFunc(slices.Clone(all), func(o Peer) bool { return o == p })) {
 			return false
 		}
@@ -180,19 +183,20 @@
 	return true
 }
 
-// tier is so many nodes that know each other, by one seed.
-func tier(t *testing.T, seed uint64, size int) *cluster {
+// newConvergedCluster returns a cluster of nodes that joined through one seed and know each other.
+func newConvergedCluster(t *testing.T, seed uint64, size int) *cluster {
 	t.Helper()
-	w := newCluster(t, seed)
+	c := newCluster(t, seed)
 	for i := range size {
-		w.start(Peer(i+1), 1, 1)
+		c.startNode(Peer(i+1), 1, 1)
 	}
-	w.until(t, 2*time.Minute, "all know all", w.agree)
-	return w
+	c.waitUntil(t, 2*time.Minute, "all nodes know each other", c.converged)
+	return c
 }
 
-func (w *cluster) sum(f func(Counts) uint64) (all uint64) {
-	for _, n := range w.nodes {
+// sumCounts returns the sum of a count over all nodes.
+func (c *cluster) sumCounts(f func(Counts) uint64) (all uint64) {
+	for _, n := range c.nodes {
 		all += f(n.Counts())
 	}
 	return all
@@ -200,180 +204,184 @@
 
 func deaths(c Counts) uint64 { return c.Deaths }
 
-// A node that dies is known to be gone by all, and by nobody else; one that starts again under its name is
-// back; one that leaves is not given up.
-func TestDeathReturnLeave(t *testing.T) {
-	w := tier(t, 1, 20)
-	delete(w.nodes, 7)
-	took := w.until(t, time.Minute, "the death is known", w.agree)
-	t.Logf("a death is known to 19 after %v", took)
-	if w.sum(deaths) == 0 {
-		t.Error("nobody declared it")
-	}
-	w.start(7, 2, 1)
-	w.until(t, time.Minute, "it is back", w.agree)
-	w.carry(9, w.nodes[9].Leave(w.now))
-	w.run(second)
-	delete(w.nodes, 9) // and its counts with it
-	before := w.sum(deaths)
-	w.until(t, 30*second, "it has left", w.agree)
-	w.run(time.Minute)
-	if after := w.sum(deaths); after != before {
-		t.Errorf("%d gave up one that left", after-before)
-	}
-	if u, _ := w.nodes[1].Member(9); u.Status != Left {
-		t.Errorf("it is taken for %v", u)
+// All nodes detect that a node stopped, and only that node is declared dead. A node that restarts under the same name
+// rejoins, and a node that leaves is not declared dead.
+func TestStopRestartAndLeaveReachAllNodes(t *testing.T) {
+	c := newConvergedCluster(t, 1, 20)
+	delete(c.nodes, 7)
+	took := c.waitUntil(t, time.Minute, "all nodes detect the stopped node", c.converged)
+	t.Logf("19 nodes detected the stopped node after %v", took)
+	if c.sumCounts(deaths) == 0 {
+		t.Error("no node declared the stopped node dead")
+	}
+	c.startNode(7, 2, 1)
+	c.waitUntil(t, time.Minute, "the restarted node rejoins", c.converged)
+	c.send(9, c.nodes[9].Leave(c.now))
+	c.run(second)
+	delete(c.nodes, 9) // its counts are no longer part of the sum
+	before := c.sumCounts(deaths)
+	c.waitUntil(t, 30*second, "the leaving node is no longer present", c.converged)
+	c.run(time.Minute)
+	if after := c.sumCounts(deaths); after != before {
+		t.Errorf("%d nodes declared the leaving node dead, want 0", after-before)
+	}
+	if u, _ := c.nodes[1].Member(9); u.Status != Left {
+		t.Errorf("state of the leaving node: got %v, want status Left", u)
 	}
 }
 
-// A tier that is cut in two for 30 s, and longer, heals.
-func TestCutHeals(t *testing.T) {
+// The cluster converges again after a partition of 30 s, and after one of 5 minutes.
+func TestClusterConvergesAfterPartition(t *testing.T) {
 	for _, d := range []time.Duration{30 * second, 5 * time.Minute} {
-		w := tier(t, 2, 12)
+		c := newConvergedCluster(t, 2, 12)
 		half := func(p Peer) bool { return p <= 6 }
-		w.cut = func(a, b Peer) bool { return half(a) != half(b) }
-		w.run(d)
-		if d > time.Minute && len(w.nodes[1].Present()) != 5 {
-			t.Errorf("after %v a half sees %v", d, w.nodes[1].Present())
+		c.partitioned = func(a, b Peer) bool { return half(a) != half(b) }
+		c.run(d)
+		if d > time.Minute && len(c.nodes[1].Present()) != 5 {
+			t.Errorf("after a partition of %v: got present members %v, want the 5 others of the half", d, c.nodes[1].Present())
 		}
-		w.cut = func(Peer, Peer) bool { return false }
-		t.Logf("cut for %v, whole after %v", d, w.until(t, 2*time.Minute, "it is whole", w.agree))
+		c.partitioned = func(Peer, Peer) bool { return false }
+		t.Logf("partitioned for %v, converged after %v", d, c.waitUntil(t, 2*time.Minute, "the halves merge", c.converged))
 	}
 }
 
-// Two groups that never met find each other once one of each knows the seed of the other.
-func TestTwoGroupsMeet(t *testing.T) {
-	w := newCluster(t, 3)
+// Two groups that have never been in contact merge when a node joins through the seeds of both.
+func TestGroupsMergeThroughCommonMember(t *testing.T) {
+	c := newCluster(t, 3)
 	for i := range Peer(5) {
-		w.start(i+1, 1, 1)
-		w.start(i+11, 1, 11)
+		c.startNode(i+1, 1, 1)
+		c.startNode(i+11, 1, 11)
 	}
-	w.run(20 * second)
-	if got := len(w.nodes[1].Present()); got != 4 {
-		t.Fatalf("a group of 5 sees %d others", got)
+	c.run(20 * second)
+	if got := len(c.nodes[1].Present()); got != 4 {
+		t.Fatalf("group of 5: got %d other members, want 4", got)
 	}
-	w.start(20, 1, 1, 11)
-	w.until(t, time.Minute, "they have met", w.agree)
+	c.startNode(20, 1, 1, 11)
+	c.waitUntil(t, time.Minute, "the groups merge", c.converged)
 }
 
-// A node that was paused for longer than any suspicion lasts is given up, and is back soon after; all
-// nodes that start again at once know each other again.
-func TestPausedAndAllAtOnce(t *testing.T) {
-	w := tier(t, 4, 10)
-	w.paused[3] = true
-	w.until(t, 2*time.Minute, "it is given up", func() bool { return !slices.Contains(w.nodes[1].Present(), 3) })
-	w.resume(3)
-	w.until(t, time.Minute, "it is back", w.agree)
+// A node that is paused for longer than any suspicion lasts is declared dead and rejoins soon after it resumes. Nodes
+// that all restart at the same time discover each other again.
+func TestPausedNodeAndRestartedNodesRejoin(t *testing.T) {
+	c := newConvergedCluster(t, 4, 10)
+	c.paused[3] = true
+	c.waitUntil(t, 2*time.Minute, "the paused node is declared dead", func() bool { return !slices.Contains(c.nodes[1].Present(), 3) })
+	c.resume(3)
+	c.waitUntil(t, time.Minute, "the resumed node rejoins", c.converged)
 	for p := range Peer(10) {
-		w.start(p+1, w.nodes[p+1].Incarnation()+1, 1, 2)
+		c.startNode(p+1, c.nodes[p+1].Incarnation()+1, 1, 2)
 	}
-	w.until(t, time.Minute, "all are back", w.agree)
+	c.waitUntil(t, time.Minute, "all restarted nodes know each other", c.converged)
 }
 
-// Under loss, and with one node in a hundred paused for a second now and then, nobody is given up.
-func TestLossGivesNobodyUp(t *testing.T) {
-	w := tier(t, 5, 30)
-	w.loss = 0.05
-	before := w.sum(deaths)
+// With 5% packet loss, and one of 30 nodes paused for 1 s in every 15 s, no node is declared dead.
+func TestPacketLossAndShortPausesCauseNoDeaths(t *testing.T) {
+	c := newConvergedCluster(t, 5, 30)
+	c.loss = 0.05
+	before := c.sumCounts(deaths)
 	for i := range 60 {
-		p := Peer(1 + w.rng.IntN(30))
-		w.paused[p] = i%3 == 0
-		w.run(second)
-		w.resume(p)
-		w.run(4 * second)
-	}
-	if n := w.sum(deaths) - before; n > 0 {
-		t.Errorf("%d were given up in five minutes", n)
-	}
-	w.loss = 0
-	w.until(t, time.Minute, "all know all", w.agree)
-	t.Logf("%.2f suspicions a node and hour", float64(w.sum(func(c Counts) uint64 { return c.Suspicions }))/30*12)
+		p := Peer(1 + c.rng.IntN(30))
+		c.paused[p] = i%3 == 0
+		c.run(second)
+		c.resume(p)
+		c.run(4 * second)
+	}
+	if n := c.sumCounts(deaths) - before; n > 0 {
+		t.Errorf("%d nodes were declared dead in 5 minutes, want 0", n)
+	}
+	c.loss = 0
+	c.waitUntil(t, time.Minute, "all nodes know each other", c.converged)
+	t.Logf("%.2f suspicions per node and hour", float64(c.sumCounts(func(c Counts) uint64 { return c.Suspicions }))/30*12)
 }
 
-// A member with arbitrary reports of others has no live member declared dead, and can't use up incarnations.
-func TestLiar(t *testing.T) {
-	w := tier(t, 6, 10)
-	before := w.sum(deaths)
+// A member that sends false updates on others cannot cause a live member to be declared dead, and cannot exhaust
+// incarnations.
+func TestFalseUpdatesCauseNoDeaths(t *testing.T) {
+	c := newConvergedCluster(t, 6, 10)
+	before := c.sumCounts(deaths)
 	for i := range 600 {
 		victim := Peer(2 + i%9)
 		for _, to := range []Peer{2, 5, 8} {
-			u, _ := w.nodes[to].Member(victim)
-			lies := []Update{
+			u, _ := c.nodes[to].Member(victim)
+			falseUpdates := []Update{
 				{Member: victim, Status: Dead, Incarnation: u.Incarnation},
 				{Member: victim, Status: Suspect, Incarnation: u.Incarnation, From: 1},
 				{Member: victim, Status: Alive, Incarnation: math.MaxUint64},
 				{Member: victim, Status: Dead, Incarnation: maxIncarnation},
 				{Member: victim, Status: 9},
 			}
-			w.carry(to, w.nodes[to].Receive(w.now, 1, Packet{Kind: Ping, Updates: lies}))
+			c.send(to, c.nodes[to].Receive(c.now, 1, Packet{Kind: Ping, Updates: falseUpdates}))
 		}
-		w.run(100 * ms)
+		c.run(100 * ms)
 	}
-	w.until(t, time.Minute, "all know all", w.agree)
-	if n := w.sum(deaths) - before; n > 0 {
-		t.Errorf("%d were given up by lies", n)
+	c.waitUntil(t, time.Minute, "all nodes know each other", c.converged)
+	if n := c.sumCounts(deaths) - before; n > 0 {
+		t.Errorf("%d nodes were declared dead by false updates, want 0", n)
 	}
-	for p, n := range w.nodes {
+	for p, n := range c.nodes {
 		if n.Incarnation() > 100_000 {
-			t.Errorf("%d has come to incarnation %d", p, n.Incarnation())
+			t.Errorf("node %d: got incarnation %d, want at most 100000", p, n.Incarnation())
 		}
 	}
-	if w.peak > Defaults(1).Datagrams+3 {
-		t.Errorf("%d packets in a second", w.peak)
+	if c.maxPerSecond > Defaults(1).Datagrams+3 {
+		t.Errorf("got %d packets per second of one node, want at most %d", c.maxPerSecond, Defaults(1).Datagrams+3)
 	}
 }
 
-// The same seed gives the same tier, packet by packet.
-func TestSameSeedSameTier(t *testing.T) {
-	play := func() string {
-		w := tier(t, 8, 15)
-		w.loss = 0.1
-		delete(w.nodes, 4)
-		w.run(time.Minute)
-		return fmt.Sprint(w.total, w.n, w.sum(deaths), w.nodes[1].Counts(), w.nodes[1].digest())
+// The simulation is deterministic: the same seed produces the same packets and states.
+func TestSameSeedProducesSameRun(t *testing.T) {
+	simulate := func() string {
+		c := newConvergedCluster(t, 8, 15)
+		c.loss = 0.1
+		delete(c.nodes, 4)
+		c.run(time.Minute)
+		return fmt.Sprint(c.totalSent, c.nextSeq, c.sumCounts(deaths), c.nodes[1].Counts(), c.nodes[1].digest())
 	}
-	if a, b := play(), play(); a != b {
-		t.Errorf("%s and %s", a, b)
+	if a, b := simulate(), simulate(); a != b {
+		t.Errorf("got different runs with the same seed: %s and %s", a, b)
 	}
 }
 
-// A packet is never longer than its form, however much there is to tell to one that believes otherwise.
-func TestPacketsAreBounded(t *testing.T) {
-	w := newCluster(t, 9)
-	n := w.start(1, 1, 2)
+// A packet never contains more than MaxUpdates updates, even if many updates are pending for a node with a different
+// view.
+func TestPacketContainsAtMostMaxUpdates(t *testing.T) {
+	c := newCluster(t, 9)
+	n := c.startNode(1, 1, 2)
 	for p := range Peer(20) {
 		n.Receive(0, p+2, Packet{Kind: Ack, Updates: []Update{{Member: p + 2, Incarnation: 1}}})
 	}
 	out := n.Receive(0, 2, Packet{Kind: Ping, Digest: 1})
 	if len(out) != 1 || len(out[0].Updates) != MaxUpdates {
-		t.Errorf("%+v", out)
+		t.Errorf("got %+v, want one packet with %d updates", out, MaxUpdates)
 	}
 }
 
-// However many nodes there are, and whatever happens, none sends more than its ceiling in a second.
-func TestCeiling(t *testing.T) {
+// No node exceeds its packet rate limit, for any cluster size, also after a third of the nodes stop and with 20%
+// packet loss.
+func TestPacketRateLimitHoldsAtAnySize(t *testing.T) {
 	for _, size := range []int{3, 30, 100} {
-		w := newCluster(t, 7)
+		c := newCluster(t, 7)
 		for i := range size {
-			w.start(Peer(i+1), 1, 1)
+			c.startNode(Peer(i+1), 1, 1)
 		}
-		w.run(20 * second)
+		c.run(20 * second)
 		for i := range size / 3 {
-			delete(w.nodes, Peer(i+2))
+			delete(c.nodes, Peer(i+2))
 		}
-		w.loss = 0.2
-		w.run(20 * second)
-		if most := Defaults(1).Datagrams; w.peak > most {
-			t.Errorf("%d nodes: %d packets of one in a second, %d at most", size, w.peak, most)
+		c.loss = 0.2
+		c.run(20 * second)
+		if limit := Defaults(1).Datagrams; c.maxPerSecond > limit {
+			t.Errorf("%d nodes: got %d packets per second of one node, want at most %d", size, c.maxPerSecond, limit)
 		}
 	}
 }
 
-// Whatever comes, incarnations do not go back, what is kept is bounded, and packets keep their form.
-func TestAnyPackets(t *testing.T) {
+// For any sequence of packets, incarnations do not decrease, stored state is bounded, and packets stay within their
+// limits.
+func TestAnyPacketsKeepInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := Defaults(1, 2)
-		s.Incarnation, s.Datagrams = 5, rapid.IntRange(1, 20).Draw(t, "ceiling")
+		s.Incarnation, s.Datagrams = 5, rapid.IntRange(1, 20).Draw(t, "rate limit")
 		n := New(s, rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1)))
 		n.SetNames([]Peer{1, 2, 3, 4, 5, 6})
 		now := time.Duration(0)
@@ -399,7 +407,7 @@
 				out = n.Receive(now, Peer(rapid.IntRange(0, 11).Draw(t, "from")), p)
 			}
 			if n.Incarnation() < own || n.Incarnation() > maxIncarnation+1 {
-				t.Fatalf("the own incarnation went from %d to %d", own, n.Incarnation())
+				t.Fatalf("the node's own incarnation changed from %d to %d, want no decrease and at most maxIncarnation+1", own, n.Incarnation())
 			}
 			known := 0
 			for p := range Peer(12) {
@@ -408,72 +416,74 @@
 					known++
 				}
 				if b, was := before[p]; was && ok && (u.Incarnation < b.Incarnation || u.Incarnation == b.Incarnation && u.Status < b.Status) {
-					t.Fatalf("%d went from %+v to %+v", p, b, u)
+					t.Fatalf("state of member %d went back from %+v to %+v", p, b, u)
 				}
 			}
-			// What is kept as it changes is what a look at all would find.
-			var slow view
-			slow.members = map[Peer]*member{}
+			// The incrementally maintained lists and hash must equal those of a view that is rebuilt from all
+			// members.
+			var rebuilt view
+			rebuilt.members = map[Peer]*member{}
 			for p, m := range n.members {
-				slow.set(&member{}, m.Update)
+				rebuilt.set(&member{}, m.Update)
 				if m.Member != p {
-					t.Fatalf("%d is kept as %d", m.Member, p)
+					t.Fatalf("member %d is stored under key %d", m.Member, p)
 				}
 			}
-			if slow.hash != n.hash || fmt.Sprint(slow.all, slow.present, slow.suspect, slow.dead) != fmt.Sprint(n.all, n.present, n.view.suspect, n.dead) {
-				t.Fatalf("%+v kept, %+v found", n.view, slow)
+			if rebuilt.hash != n.hash || fmt.Sprint(rebuilt.all, rebuilt.present, rebuilt.suspect, rebuilt.dead) != fmt.Sprint(n.all, n.present, n.view.suspect, n.dead) {
+				t.Fatalf("got view %+v, want the rebuilt view %+v", n.view, rebuilt)
 			}
 			if known > 5 || len(n.broadcasts) > 6 || n.queue.Len() != len(n.broadcasts) || len(n.relays) > 4*s.Datagrams {
-				t.Fatalf("%d members, %d broadcasts, %d relays", known, len(n.broadcasts), len(n.relays))
+				t.Fatalf("got %d members, %d pending broadcasts and %d relays, more than allowed", known, len(n.broadcasts), len(n.relays))
 			}
 			for _, o := range out {
 				if len(o.Updates) > MaxUpdates || o.To == s.Self {
-					t.Fatalf("%+v", o)
+					t.Fatalf("got packet %+v, want at most %d updates and another recipient", o, MaxUpdates)
 				}
 			}
 		}
 	})
 }
 
-// Who finds that a member that others suspect does not answer confirms it: the suspicion lasts no longer than
-// a few probes more, however fast the first one spread.
-func TestOwnProbesConfirm(t *testing.T) {
+// A node whose own probe of a suspected member fails confirms the suspicion. The suspicion therefore lasts only a few
+// probe periods longer, however fast its first broadcast spread.
+func TestFailedProbesConfirmSuspicion(t *testing.T) {
 	for seed := range uint64(3) {
-		w := tier(t, 30+seed, 100)
-		w.loss = 0.05
-		delete(w.nodes, 100)
-		took := w.until(t, 2*time.Minute, "the death is known", w.agree)
-		if t.Log(took); took > 18*second { // 8 s of suspicion, once three have confirmed it
-			t.Errorf("seed %d: a death is known after %v", 30+seed, took)
+		c := newConvergedCluster(t, 30+seed, 100)
+		c.loss = 0.05
+		delete(c.nodes, 100)
+		took := c.waitUntil(t, 2*time.Minute, "all nodes detect the stopped node", c.converged)
+		if t.Log(took); took > 18*second { // a suspicion lasts 8 s after three confirmations
+			t.Errorf("seed %d: all nodes detected the stopped node after %v, want at most 18s", 30+seed, took)
 		}
 	}
 }
 
-// BenchmarkTier: traffic, detection and spread at several sizes; seconds of virtual time.
-func BenchmarkTier(b *testing.B) {
+// BenchmarkCluster measures traffic, failure detection and dissemination at several sizes, in seconds of virtual
+// time.
+func BenchmarkCluster(b *testing.B) {
 	for _, size := range []int{10, 100, 1000} {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
 			for b.Loop() {
-				w := newCluster(b, 11)
+				c := newCluster(b, 11)
 				for i := range size {
-					w.start(Peer(i+1), 1, 1, 2, 3)
+					c.startNode(Peer(i+1), 1, 1, 2, 3)
 				}
-				joined := w.until(b, 10*time.Minute, "all know all", w.agree)
-				sent, from := w.total, w.now
-				w.run(20 * second)
-				rate := float64(w.total-sent) / float64(size) / (w.now - from).Seconds()
-				w.loss = 0.05
-				delete(w.nodes, Peer(size))
-				first := w.until(b, 5*time.Minute, "somebody knows", func() bool {
-					for _, n := range w.nodes {
+				joined := c.waitUntil(b, 10*time.Minute, "all nodes know each other", c.converged)
+				sent, from := c.totalSent, c.now
+				c.run(20 * second)
+				rate := float64(c.totalSent-sent) / float64(size) / (c.now - from).Seconds()
+				c.loss = 0.05
+				delete(c.nodes, Peer(size))
+				first := c.waitUntil(b, 5*time.Minute, "one node declares the stopped node dead", func() bool {
+					for _, n := range c.nodes {
 						if u, _ := n.Member(Peer(size)); u.Status == Dead {
 							return true
 						}
 					}
 					return false
 				})
-				all := first + w.until(b, 5*time.Minute, "all know", func() bool {
-					for _, n := range w.nodes {
+				all := first + c.waitUntil(b, 5*time.Minute, "all nodes consider the stopped node dead", func() bool {
+					for _, n := range c.nodes {
 						if u, _ := n.Member(Peer(size)); u.Status != Dead {
 							return false
 						}
@@ -482,7 +492,7 @@
 				})
 				b.ReportMetric(joined.Seconds(), "s/join")
 				b.ReportMetric(rate, "packets/node/s")
-				b.ReportMetric(float64(w.peak), "peak/s")
+				b.ReportMetric(float64(c.maxPerSecond), "peak/s")
 				b.ReportMetric(first.Seconds(), "s/detect")
 				b.ReportMetric(all.Seconds(), "s/all")
 			}
@@ -490,40 +500,41 @@
 	}
 }
 
-// BenchmarkFalse: suspicions that a node begins in an hour, and members that it takes for gone at the end of a
-// pause though they were neither paused in it nor in the two before, with 5% loss and one node in a hundred paused
-// at any time, for ten seconds each; with Lifeguard's refinements and without.
-func BenchmarkFalse(b *testing.B) {
-	for _, plain := range []bool{false, true} {
-		b.Run(fmt.Sprint("plain=", plain), func(b *testing.B) {
+// BenchmarkFalsePositives measures the suspicions that a node starts per hour, and the members that a node considers
+// dead at the end of a pause although they were paused neither in that pause nor in the two before. Packet loss is
+// 5%, and one node in a hundred is paused at any time, for ten seconds each. It runs with and without Lifeguard's
+// refinements.
+func BenchmarkFalsePositives(b *testing.B) {
+	for _, plainSWIM := range []bool{false, true} {
+		b.Run(fmt.Sprint("plain=", plainSWIM), func(b *testing.B) {
 			for b.Loop() {
-				w := newCluster(b, 12)
-				w.plain = plain
+				c := newCluster(b, 12)
+				c.plainSWIM = plainSWIM
 				for i := range 100 {
-					w.start(Peer(i+1), 1, 1, 2, 3)
+					c.startNode(Peer(i+1), 1, 1, 2, 3)
 				}
-				w.until(b, 10*time.Minute, "all know all", w.agree)
-				w.loss = 0.05
-				suspicions, wrong := w.sum(func(c Counts) uint64 { return c.Suspicions }), 0
+				c.waitUntil(b, 10*time.Minute, "all nodes know each other", c.converged)
+				c.loss = 0.05
+				suspicions, falseDeaths := c.sumCounts(func(c Counts) uint64 { return c.Suspicions }), 0
 				const pauses = 60
-				var late []Peer
+				var pausedPeers []Peer
 				for range pauses {
-					p := Peer(1 + w.rng.IntN(100))
-					late = append(late, p)
-					w.paused[p] = true
-					w.run(10 * second)
-					for by, n := range w.nodes {
+					p := Peer(1 + c.rng.IntN(100))
+					pausedPeers = append(pausedPeers, p)
+					c.paused[p] = true
+					c.run(10 * second)
+					for by, n := range c.nodes {
 						for _, dead := range n.dead {
-							if by != p && !slices.Contains(late[max(0, len(late)-3):], dead) {
-								wrong++
+							if by != p && !slices.Contains(pausedPeers[max(0, len(pausedPeers)-3):], dead) {
+								falseDeaths++
 							}
 						}
 					}
-					w.resume(p)
+					c.resume(p)
 				}
 				nodeHours := 100 * float64(pauses) * 10 / 3600
-				b.ReportMetric(float64(w.sum(func(c Counts) uint64 { return c.Suspicions })-suspicions)/nodeHours, "suspicions/node/h")
-				b.ReportMetric(float64(wrong)/nodeHours, "wrongly_gone/node/h")
+				b.ReportMetric(float64(c.sumCounts(func(c Counts) uint64 { return c.Suspicions })-suspicions)/nodeHours, "suspicions/node/h")
+				b.ReportMetric(float64(falseDeaths)/nodeHours, "wrongly_gone/node/h")
 			}
 		})
 	}
--- a/decide/outlier/score_test.go
+++ b/decide/outlier/score_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Endpoints that reject calls equally often are no outliers, however often that is.
-func TestEqualRejectionsMakeNoOutlier(t *testing.T) {
+// Endpoints that reject calls equally often are not outliers, regardless of the rate.
+func TestEndpointsWithEqualRejectionsAreNotOutliers(t *testing.T) {
 	now := time.Hour
 	var a, b Score
 	for range 100 {
@@ -20,7 +20,8 @@
 	}
 }
 
-// An endpoint that rejects calls while its siblings do not is an outlier until it accepts one, or seconds after its last rejection.
+// An endpoint that rejects calls while its siblings do not is an outlier until it accepts a call, or until a few
+// seconds after its last rejection.
 func TestOutlierUntilSuccessOrDecay(t *testing.T) {
 	now := time.Hour
 	var healthy, rejecting Score
@@ -28,10 +29,10 @@
 		rejecting.RecordRejection(now)
 	}
 	if !rejecting.IsOutlier(now, healthy.At(now)) || rejecting.IsOutlier(now, math.Inf(1)) {
-		t.Error("got no outlier beside a healthy sibling, or one without siblings")
+		t.Error("want an outlier with a healthy sibling and none without siblings")
 	}
 	if rejecting.IsOutlier(now+2*scoreDecayTime, 0) {
-		t.Error("got an outlier long after its last rejection, want none")
+		t.Error("got an outlier after twice the decay time without rejections, want none")
 	}
 	rejecting.RecordSuccess(now)
 	if rejecting.IsOutlier(now, 0) {
--- a/decide/polling/delays_test.go
+++ b/decide/polling/delays_test.go
@@ -13,8 +13,8 @@
 
 var update = flag.Bool("update", false, "write the recorded delays")
 
-// The delays for fleets of many sizes are those that were recorded, to the nanosecond.
-func TestRecordedDelays(t *testing.T) {
+// The delays and timeouts for fleets of many sizes must equal the recorded ones, to the nanosecond.
+func TestDelaysMatchRecorded(t *testing.T) {
 	var got bytes.Buffer
 	for _, nodes := range []int{-1, 0, 1, 2, 5, 9, 10, 11, 35, 36, 79, 80, 81, 300, 1100} {
 		for _, grace := range []time.Duration{0, 400 * time.Millisecond, time.Second, 4 * time.Second} {
@@ -38,6 +38,6 @@
 		t.Fatal(err)
 	}
 	if !bytes.Equal(got.Bytes(), want) {
-		t.Errorf("the delays differ from %s:\n%s", file, got.Bytes())
+		t.Errorf("got delays that differ from %s:\n%s", file, got.Bytes())
 	}
 }
--- a/decide/polling/polling_test.go
+++ b/decide/polling/polling_test.go
@@ -10,14 +10,15 @@
 	"pgregory.net/rapid"
 )
 
-// For any number of nodes: a node that starts with an old list polls at once, one whose call was rejected or timed out
-// polls again within the propagation bound, and a response that waits behind the calls of all nodes does not time out.
-func TestBounds(t *testing.T) {
+// For any number of nodes: a node that starts with an old list polls within 500 ms, a node whose call was rejected or
+// timed out polls again within the propagation bound, and a response that is queued behind the calls of all nodes
+// does not time out.
+func TestDelaysAndTimeoutsKeepBounds(t *testing.T) {
 	for _, nodes := range []int{math.MinInt, -1, 0, 1, 2, 3, 80, 300, 1100, 10_000, math.MaxInt} {
 		s := Schedule{Nodes: nodes, Rand: rand.New(rand.NewPCG(1, 5))}
 		for failures := range 200 {
 			if delay := s.InitialDelay(); delay < 0 || delay > 500*time.Millisecond {
-				t.Fatalf("%d nodes: initial delay got %v, want 500ms at most", nodes, delay)
+				t.Fatalf("%d nodes: got an initial delay of %v, want at most 500ms", nodes, delay)
 			}
 			for _, rejected := range []bool{false, true} {
 				delay := s.NextDelay(failures-1, rejected)
@@ -25,34 +26,35 @@
 					t.Fatalf("%d nodes: after %d failures got a delay of %v, want %v or more", nodes, failures, delay, MinInterval)
 				}
 				if age := delay + s.ChangeTimeout(1) + s.ResponseTimeout(1); rejected && age > PropagationBound || !rejected && max(s.ChangeTimeout(0)+s.ResponseTimeout(0), s.ListTimeout(0))+age > PropagationBound {
-					t.Fatalf("%d nodes: after %d failures got a delay of %v, with which a change takes %v", nodes, failures, delay, age)
+					t.Fatalf("%d nodes: after %d failures got a delay of %v, with which a change takes %v, more than the propagation bound allows", nodes, failures, delay, age)
 				}
 			}
 		}
-		if p := min(s.ResponseTimeout(1), s.ListTimeout(1)); nodes > 1 && p <= overloaded {
-			t.Errorf("%d nodes: a response may take %v, and an overloaded directory takes %v", nodes, p, overloaded)
+		if p := min(s.ResponseTimeout(1), s.ListTimeout(1)); nodes > 1 && p <= maxQueueTime {
+			t.Errorf("%d nodes: got a response timeout of %v, want more than the %v that an overloaded directory takes", nodes, p, maxQueueTime)
 		}
 		if w := s.ChangeTimeout(0); w < time.Second {
-			t.Errorf("%d nodes: got a change timeout of %v, want a second or more", nodes, w)
+			t.Errorf("%d nodes: got a change timeout of %v, want at least 1s", nodes, w)
 		}
 	}
 }
 
-// Whatever a directory does until a change, and however calls end before it, every node has the change within the
-// propagation bound; and from an agent of its own within the drain grace.
-func TestChangesArriveInTime(t *testing.T) {
+// Regardless of the directory's state before a change and of how earlier calls end, every node receives the change
+// within the propagation bound, and from an agent that serves only this node within the drain grace.
+func TestChangeArrivesWithinPropagationBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := Schedule{
 			Nodes: rapid.IntRange(1, 1100).Draw(t, "nodes"), Rand: rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 3)),
 			DrainGrace: time.Duration(rapid.IntRange(500, 4000).Draw(t, "grace")) * time.Millisecond,
 		}
 		changed := time.Duration(rapid.IntRange(0, 30_000).Draw(t, "change")) * time.Millisecond
-		took := time.Duration(rapid.IntRange(1, 2000).Draw(t, "took")) * time.Millisecond // a response, when there is one
+		took := time.Duration(rapid.IntRange(1, 2000).Draw(t, "took")) * time.Millisecond // duration of a successful response
 		if s.Nodes == 1 {
 			took = min(took, 20*time.Millisecond)
 		}
-		// How the calls end that begin before the change. The last of them is outstanding at the change, and its response
-		// never comes. A response that trickles, or a connection that is not established, is silence.
+		// Endings of the calls that start before the change. The last of them is in progress at the change and its
+		// response never arrives. silent includes a response that arrives too slowly and a connection that is not
+		// established.
 		endings := rapid.SampledFrom([]condition{open, rejecting, silent})
 		at, failures, ended := s.InitialDelay(), 0, time.Duration(-1)
 		for at < changed {
@@ -62,8 +64,8 @@
 			}
 			rejected := false
 			switch endings.Draw(t, "ending") {
-			case open: // it waits for a change, and there is none
-				if at+limit > changed { // the response would have had it
+			case open: // the call waits for a change that does not occur
+				if at+limit > changed { // a response would contain the change, so it is lost
 					limit = s.ChangeTimeout(failures) + s.ResponseTimeout(failures)
 					failures++
 					break
@@ -82,20 +84,20 @@
 		}
 		received := at + took
 		if received-changed > PropagationBound {
-			t.Fatalf("%d nodes: the change took %v; the last call ended at %v, the next began at %v, the change was at %v", s.Nodes, received-changed, ended, at, changed)
+			t.Fatalf("%d nodes: the change arrived after %v; the last call ended at %v, the next began at %v, the change was at %v", s.Nodes, received-changed, ended, at, changed)
 		}
 		if s.Nodes == 1 && failures > 1 && received-changed > max(s.DrainGrace, 500*time.Millisecond) {
-			t.Fatalf("a change from an agent took %v, and a drain has %v", received-changed, s.DrainGrace)
+			t.Fatalf("the change from an agent arrived after %v, want within the drain grace of %v", received-changed, s.DrainGrace)
 		}
 	})
 }
 
-// directory accepts calls at a rate. It rejects calls that would wait for longer than overloaded, at no cost. A response
-// that comes after the timeout of its node is wasted.
+// directory simulates a directory that accepts calls at a rate. It rejects calls that would be queued for longer than
+// maxQueueTime, which takes no capacity. A response that arrives after the node's timeout is wasted.
 type directory struct {
-	rate  float64
-	busy  time.Duration                 // when it accepts the next call
-	state func(time.Duration) condition // at a time
+	rate      float64
+	busyUntil time.Duration                 // end of the queue of accepted calls
+	state     func(time.Duration) condition // state at a time
 }
 
 type condition int
@@ -106,8 +108,8 @@
 	silent
 )
 
-// overloaded is how long a call may wait at a directory.
-const overloaded = 2 * time.Second
+// maxQueueTime is the maximum time that a call may be queued at a directory.
+const maxQueueTime = 2 * time.Second
 
 type poll struct {
 	at       time.Duration
@@ -123,8 +125,8 @@
 func (a *polls) Push(x any)        { *a = append(*a, x.(poll)) }
 func (a *polls) Pop() any          { o := *a; l := o[len(o)-1]; *a = o[:len(o)-1]; return l }
 
-// simulate lets nodes start at once and poll until each has a response. It returns when each had it, and the calls in
-// each second.
+// simulate starts nodes at the same time and runs their polls until each has received a response. It returns the time
+// of each node's response and the number of calls in each second.
 func simulate(nodes int, seed uint64, d *directory, length time.Duration) (answered []time.Duration, calls []int) {
 	answered, calls = make([]time.Duration, nodes), make([]int, int(length/time.Second)+1)
 	s := Schedule{Nodes: nodes, Rand: rand.New(rand.NewPCG(seed, 9))}
@@ -139,12 +141,12 @@
 		wait, rejected := time.Millisecond, true
 		switch d.state(a.at) {
 		case open:
-			if d.busy = max(d.busy, a.at); d.busy-a.at > overloaded {
+			if d.busyUntil = max(d.busyUntil, a.at); d.busyUntil-a.at > maxQueueTime {
 				break
 			}
-			d.busy += time.Duration(float64(time.Second) / d.rate)
+			d.busyUntil += time.Duration(float64(time.Second) / d.rate)
 			rejected = false
-			if wait = d.busy - a.at; wait <= s.ResponseTimeout(1) {
+			if wait = d.busyUntil - a.at; wait <= s.ResponseTimeout(1) {
 				answered[a.node] = a.at + wait
 				continue
 			}
@@ -159,13 +161,14 @@
 	return answered, calls
 }
 
-// A directory with the capacity for one call of each node in 2 to 8 s, which rejects all calls or is silent for a time,
-// has responded to all of 1 to 1,100 nodes that started together soon after it can. No second has more calls than the
-// propagation bound requires: a rejected node polls twice in 3.4 s, one without a response once in 2.8 s.
-func TestDirectoryOfAnyFleet(t *testing.T) {
+// A directory with the capacity for one call per node in 2 to 8 s rejects all calls or does not respond for some
+// time. Once it can respond, each of 1 to 1,100 nodes that started together must soon receive a response. The calls
+// per second must not exceed what the propagation bound requires: a rejected node polls twice in 3.4 s, and a node
+// without a response once in 2.8 s.
+func TestFleetReceivesListsAfterDirectoryFault(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		nodes := rapid.IntRange(1, 1100).Draw(t, "nodes")
-		spread := rapid.Float64Range(2, 8).Draw(t, "seconds for a call of each")
+		spread := rapid.Float64Range(2, 8).Draw(t, "seconds for one call per node")
 		fault := rapid.SampledFrom([]condition{rejecting, silent}).Draw(t, "fault")
 		until := time.Duration(rapid.IntRange(0, 20).Draw(t, "until")) * time.Second
 		d := &directory{rate: max(2, float64(nodes)/spread), state: func(at time.Duration) condition {
@@ -178,7 +181,7 @@
 		late := 0
 		for n, at := range answered {
 			if at == math.MaxInt64 {
-				t.Fatalf("node %d: no list within two minutes", n)
+				t.Fatalf("node %d: got no list within 2 minutes after the fault", n)
 			}
 			if at > until+2*MaxSpread {
 				late++
@@ -187,14 +190,15 @@
 		if late > nodes/50 {
 			t.Errorf("got %d of %d nodes with a list later than %v after the directory could respond", late, nodes, 2*MaxSpread)
 		}
-		// Each node has its first call in the first second, and up to 35 nodes draw from shorter spans.
+		// Each node makes its first call in the first second, and nodes of fleets of up to 35 draw from shorter
+		// ranges.
 		for second, n := range calls {
 			limit := 0.9*float64(nodes) + 10 + float64(min(nodes, 35))*4
 			if second == 0 {
 				limit += 0.6 * float64(nodes)
 			}
 			if float64(n) > limit {
-				t.Errorf("%d nodes: got %d calls in second %d, want %.0f at most", nodes, n, second, limit)
+				t.Errorf("%d nodes: got %d calls in second %d, want at most %.0f", nodes, n, second, limit)
 			}
 		}
 	})
