--- a/decide/evidence/assess.go
+++ b/decide/evidence/assess.go
@@ -31,9 +31,9 @@
 
 // Assessment is the evaluator's judgment of an endpoint.
 type Assessment struct {
-	Suspected  bool
-	Share      float64       // Settings.Share if suspected, else 1; decide/gossip does not use it
-	TrialEvery time.Duration // maximum interval between probes; set only if suspected
+	Suspected     bool
+	Share         float64       // Settings.Share if suspected, else 1; decide/gossip does not use it
+	ProbeInterval time.Duration // maximum interval between probes; set only if suspected
 	// Down is the total weight of the peers that reported failures after the last success, and Up that of the peers
 	// that reported successes.
 	Down, Up float64
@@ -42,8 +42,8 @@
 
 // Assess assesses an endpoint. The endpoint is suspected if a quorum of peers in this availability zone reported
 // failures after the last reported success, their total weight is sufficient both by itself and against the peers
-// that reported successes, and no recent call of this node succeeded. With fewer reports, or after a success of this
-// node, Share stays 1.
+// that reported successes, and this node's last call was not a recent success. With fewer reports, or after a success
+// of this node, Share stays 1.
 func (v *Evaluator) Assess(now time.Duration, id Endpoint) Assessment {
 	assessment := Assessment{Share: 1}
 	e := v.endpoints[id]
@@ -68,7 +68,7 @@
 	quorum := Quorum(len(v.members) + 1)
 	sufficientWeight := assessment.Down >= float64(quorum)*quorumWeight && assessment.Down > downToUpRatio*assessment.Up
 	if !v.succeededRecently(now, e) && assessment.Peers >= quorum && sufficientWeight {
-		assessment.Suspected, assessment.Share, assessment.TrialEvery = true, v.settings.Share, v.settings.TrialEvery
+		assessment.Suspected, assessment.Share, assessment.ProbeInterval = true, v.settings.Share, v.settings.ProbeInterval
 	}
 	return assessment
 }
--- a/decide/evidence/evidence.go
+++ b/decide/evidence/evidence.go
@@ -42,22 +42,22 @@
 type Settings struct {
 	Zone             int           // availability zone of this node
 	MaxAge           time.Duration // reports on calls that ended longer ago are ignored
-	Skew             time.Duration // maximum difference between clocks
+	MaxClockSkew     time.Duration // maximum difference between clocks
 	OwnSuccessTime   time.Duration // how long a successful call of this node overrides all peers
 	EvaluationWindow time.Duration // how long after a report a call of this node may still confirm or refute it
 	WeightHalfLife   time.Duration // time in which a weight below the initial weight regains half of the difference
-	Share            float64       // Assessment.Share of a suspected endpoint, above 0 and below 1; decide/gossip does not use it
-	TrialEvery       time.Duration // maximum interval between probes to a suspected endpoint
+	Share            float64       // Assessment.Share if suspected, above 0 and below 1; decide/gossip does not use it
+	ProbeInterval    time.Duration // maximum interval between probes to a suspected endpoint
 	MaxEndpoints     int           // maximum number of endpoints with stored reports
 	MaxPeers         int           // maximum number of members; weights of twice as many peers are stored
-	MaxReports       int           // maximum number of stored reports, one per peer and endpoint; all members have equal quotas
+	MaxReports       int           // maximum number of stored reports, the newest per peer and endpoint, in equal quotas
 }
 
 // Defaults returns the settings of a node in an availability zone.
 func Defaults(zone int) Settings {
 	return Settings{
-		Zone: zone, MaxAge: 10 * time.Second, Skew: time.Second, OwnSuccessTime: 2 * time.Second, EvaluationWindow: 2 * time.Second,
-		WeightHalfLife: 10 * time.Minute, Share: 0.125, TrialEvery: time.Second, MaxEndpoints: 8192, MaxPeers: 1024, MaxReports: 1 << 16,
+		Zone: zone, MaxAge: 10 * time.Second, MaxClockSkew: time.Second, OwnSuccessTime: 2 * time.Second, EvaluationWindow: 2 * time.Second,
+		WeightHalfLife: 10 * time.Minute, Share: 0.125, ProbeInterval: time.Second, MaxEndpoints: 8192, MaxPeers: 1024, MaxReports: 1 << 16,
 	}
 }
 
@@ -88,7 +88,7 @@
 	failed    observation // this node's last failed call
 }
 
-// observation is the time of the last observation of an event, if there was one.
+// observation is the time of an observed event; observed is false if there was none.
 type observation struct {
 	at       time.Duration
 	observed bool
@@ -136,7 +136,7 @@
 		return ErrInvalid
 	case now-r.To > v.settings.MaxAge:
 		return ErrStale
-	case r.To-now > v.settings.Skew:
+	case r.To-now > v.settings.MaxClockSkew:
 		return ErrFuture
 	}
 	e := v.endpoints[r.Endpoint]
--- a/decide/evidence/evidence_test.go
+++ b/decide/evidence/evidence_test.go
@@ -64,7 +64,7 @@
 		t.Errorf("failure reports by two of nine peers: got %+v, want no suspicion", got)
 	}
 	receive(t, v, second, report(3, 1, second, true), nil)
-	if got := v.Assess(second, 1); !got.Suspected || got.Share <= 0 || got.Share >= 1 || got.TrialEvery <= 0 {
+	if got := v.Assess(second, 1); !got.Suspected || got.Share <= 0 || got.Share >= 1 || got.ProbeInterval <= 0 {
 		t.Errorf("failure reports by three of nine peers: got %+v, want a suspicion with a share between 0 and 1", got)
 	}
 	if got := v.Assess(second, 2); got.Suspected {
@@ -281,7 +281,7 @@
 					suspected++
 				}
 				at, ok := succeeded[id]
-				if got.Share <= 0 || got.Share < 1 && (got.TrialEvery <= 0 || belowQuorum || ok && now-at <= v.settings.OwnSuccessTime) {
+				if got.Share <= 0 || got.Share < 1 && (got.ProbeInterval <= 0 || belowQuorum || ok && now-at <= v.settings.OwnSuccessTime) {
 					t.Fatalf("%d of %d other members report, last successful call of this node %v ago (%t): got %+v", reporters, others, now-at, ok, got)
 				}
 			}
--- a/decide/gossip/effects.go
+++ b/decide/gossip/effects.go
@@ -10,7 +10,7 @@
 	Endpoint evidence.Endpoint
 	Down     bool // a quorum reported failures; false means that it has recovered and slow start begins
 	// ProbePause is how long this node sends no probes to an endpoint that is down for peers. All members together
-	// send about one probe per Evidence.TrialEvery, and each member at least one per 1.5 times Evidence.MaxAge.
+	// send about one probe per Evidence.ProbeInterval, and each member at least one per 1.5 times Evidence.MaxAge.
 	ProbePause time.Duration
 }
 
@@ -59,6 +59,6 @@
 
 // probePause returns a random pause of this node's probes, from half to one and a half times the mean.
 func (c *Core) probePause() time.Duration {
-	mean := min(c.settings.Evidence.MaxAge, time.Duration(len(c.present)+1)*c.settings.Evidence.TrialEvery)
+	mean := min(c.settings.Evidence.MaxAge, time.Duration(len(c.present)+1)*c.settings.Evidence.ProbeInterval)
 	return mean/2 + time.Duration(c.random.Int64N(int64(mean)))
 }
--- a/decide/gossip/gossip_test.go
+++ b/decide/gossip/gossip_test.go
@@ -519,7 +519,7 @@
 			}
 		}
 	}
-	if len(c.effects) > 0 || c.maxPerSecond > membership.Defaults(1).Datagrams+1 { // both incarnations may send in the same second
+	if len(c.effects) > 0 || c.maxPerSecond > membership.Defaults(1).Datagrams+1 { // two incarnations may share a second
 		t.Errorf("got effects %v and %d packets per second of one node, want no effects and at most the rate limit", c.effects, c.maxPerSecond)
 	}
 	c.run(5 * second)
--- a/decide/gossip/observe.go
+++ b/decide/gossip/observe.go
@@ -26,7 +26,7 @@
 // pendingReport is the state of the report on an endpoint.
 type pendingReport struct {
 	queued        bool
-	lastDue       time.Duration // due time of the latest scheduled report, even if it was never sent; 0 if there was none
+	lastDue       time.Duration // due time of the latest scheduled report, even if never sent; 0 if none
 	due           time.Duration // earliest time to send it
 	contradictory bool          // it only contradicts a peer, so it is sent after all others
 	recipients    []membership.Peer
--- a/decide/gossip/return_test.go
+++ b/decide/gossip/return_test.go
@@ -124,7 +124,8 @@
 		maxRatio, first := 0.0, time.Duration(0)
 		for i, at := range s.calls {
 			if at < recoveredAt || first > 0 && at-first > settings.WarmUp {
-				continue // after the warm-up the in-flight windows limit calls by the endpoint's rejections, and this one rejects none
+				// After the warm-up, in-flight windows limit calls by rejections, and this endpoint rejects none.
+				continue
 			}
 			if first == 0 {
 				first = at
--- a/decide/membership/broadcast.go
+++ b/decide/membership/broadcast.go
@@ -58,7 +58,7 @@
 	return all[:min(len(all), MaxUpdates)]
 }
 
-// nextBroadcasts returns up to limit pending updates with the fewest transmissions, except updates of the peer
+// nextBroadcasts returns up to limit pending updates with the fewest transmissions, except an update of the peer
 // exclude.
 func (n *Node) nextBroadcasts(limit int, exclude Peer) []*pendingUpdate {
 	first := make([]*pendingUpdate, 0, MaxUpdates)
--- a/decide/membership/membership.go
+++ b/decide/membership/membership.go
@@ -56,7 +56,7 @@
 	counts Counts
 
 	broadcasts      map[Peer]*pendingUpdate
-	queue           *btree.BTreeG[*pendingUpdate] // the pending broadcasts, least recordTransmission first
+	queue           *btree.BTreeG[*pendingUpdate] // the pending broadcasts, least often sent first
 	syncCursor      int                           // position in view.all from which the next view exchange continues
 	divergedPackets int                           // packets in this period whose sender has a different view
 
--- a/decide/membership/probe.go
+++ b/decide/membership/probe.go
@@ -12,7 +12,7 @@
 	target   Peer
 	seq      uint32
 	sent     time.Duration
-	indirect int // number of members asked to probe, at least 1 once probeIndirectly ran
+	indirect int // number of members asked to probe; at least 1 after probeIndirectly ran
 	nacks    int
 	acked    bool
 }
@@ -22,7 +22,7 @@
 	requester Peer
 	seq       uint32 // sequence number of the requester's probe
 	target    Peer
-	at        time.Duration
+	started   time.Duration
 	nacked    bool
 }
 
@@ -45,11 +45,11 @@
 func (n *Node) expireRelays(now time.Duration) {
 	for _, seq := range slices.Sorted(maps.Keys(n.relays)) {
 		r := n.relays[seq]
-		if now-r.at >= n.settings.Timeout && !r.nacked {
+		if now-r.started >= n.settings.Timeout && !r.nacked {
 			r.nacked = true
 			n.send(now, r.requester, Packet{Kind: Nack, Seq: r.seq, Target: r.target}, false)
 		}
-		if now-r.at >= 2*n.settings.Period {
+		if now-r.started >= 2*n.settings.Period {
 			delete(n.relays, seq)
 		}
 	}
--- a/decide/membership/receive.go
+++ b/decide/membership/receive.go
@@ -55,7 +55,7 @@
 		return
 	}
 	seq := n.nextSeq()
-	n.relays[seq] = &relay{requester: from, seq: p.Seq, target: p.Target, at: now}
+	n.relays[seq] = &relay{requester: from, seq: p.Seq, target: p.Target, started: now}
 	n.send(now, p.Target, Packet{Kind: Ping, Seq: seq}, false)
 }
 
--- a/decide/membership/send.go
+++ b/decide/membership/send.go
@@ -11,11 +11,11 @@
 	if s := now.Truncate(time.Second); s != n.sentSecond {
 		n.sentSecond, n.sentCount = s, 0
 	}
-	ceiling := n.settings.Datagrams
+	limit := n.settings.Datagrams
 	if p.Kind == Ping || p.Kind == PingReq {
-		ceiling -= ceiling / responseReserveDivisor
+		limit -= limit / responseReserveDivisor
 	}
-	if n.sentCount >= ceiling {
+	if n.sentCount >= limit {
 		n.counts.Dropped++
 		return
 	}
--- a/decide/polling/polling_test.go
+++ b/decide/polling/polling_test.go
@@ -48,7 +48,7 @@
 			DrainGrace: time.Duration(rapid.IntRange(500, 4000).Draw(t, "grace")) * time.Millisecond,
 		}
 		changed := time.Duration(rapid.IntRange(0, 30_000).Draw(t, "change")) * time.Millisecond
-		took := time.Duration(rapid.IntRange(1, 2000).Draw(t, "took")) * time.Millisecond // duration of a successful response
+		took := time.Duration(rapid.IntRange(1, 2000).Draw(t, "took")) * time.Millisecond // response time
 		if s.Nodes == 1 {
 			took = min(took, 20*time.Millisecond)
 		}
