--- a/decide/membership/membership_test.go
+++ b/decide/membership/membership_test.go
@@ -183,14 +183,14 @@
 	return true
 }
 
-// newConvergedCluster returns a cluster of nodes that joined through one seed and know each other.
+// newConvergedCluster returns a cluster of nodes that joined through one seed and are present in each other's views.
 func newConvergedCluster(t *testing.T, seed uint64, size int) *cluster {
 	t.Helper()
 	c := newCluster(t, seed)
 	for i := range size {
 		c.startNode(Peer(i+1), 1, 1)
 	}
-	c.waitUntil(t, 2*time.Minute, "all nodes know each other", c.converged)
+	c.waitUntil(t, 2*time.Minute, "all nodes are present in all views", c.converged)
 	return c
 }
 
@@ -271,7 +271,7 @@
 	for p := range Peer(10) {
 		c.startNode(p+1, c.nodes[p+1].Incarnation()+1, 1, 2)
 	}
-	c.waitUntil(t, time.Minute, "all restarted nodes know each other", c.converged)
+	c.waitUntil(t, time.Minute, "all restarted nodes are present in all views", c.converged)
 }
 
 // With 5% packet loss, and one of 30 nodes paused for 1 s in every 15 s, no node is declared dead.
@@ -290,7 +290,7 @@
 		t.Errorf("%d nodes were declared dead in 5 minutes, want 0", n)
 	}
 	c.loss = 0
-	c.waitUntil(t, time.Minute, "all nodes know each other", c.converged)
+	c.waitUntil(t, time.Minute, "all nodes are present in all views", c.converged)
 	t.Logf("%.2f suspicions per node and hour", float64(c.sumCounts(func(c Counts) uint64 { return c.Suspicions }))/30*12)
 }
 
@@ -314,7 +314,7 @@
 		}
 		c.run(100 * ms)
 	}
-	c.waitUntil(t, time.Minute, "all nodes know each other", c.converged)
+	c.waitUntil(t, time.Minute, "all nodes are present in all views", c.converged)
 	if n := c.sumCounts(deaths) - before; n > 0 {
 		t.Errorf("%d nodes were declared dead by false updates, want 0", n)
 	}
@@ -468,7 +468,7 @@
 				for i := range size {
 					c.startNode(Peer(i+1), 1, 1, 2, 3)
 				}
-				joined := c.waitUntil(b, 10*time.Minute, "all nodes know each other", c.converged)
+				joined := c.waitUntil(b, 10*time.Minute, "all nodes are present in all views", c.converged)
 				sent, from := c.totalSent, c.now
 				c.run(20 * second)
 				rate := float64(c.totalSent-sent) / float64(size) / (c.now - from).Seconds()
@@ -513,7 +513,7 @@
 				for i := range 100 {
 					c.startNode(Peer(i+1), 1, 1, 2, 3)
 				}
-				c.waitUntil(b, 10*time.Minute, "all nodes know each other", c.converged)
+				c.waitUntil(b, 10*time.Minute, "all nodes are present in all views", c.converged)
 				c.loss = 0.05
 				suspicions, falseDeaths := c.sumCounts(func(c Counts) uint64 { return c.Suspicions }), 0
 				const pauses = 60
