--- a/cmd/wingmount/rules.go
+++ b/cmd/wingmount/rules.go
@@ -71,7 +71,7 @@
 func printCostBounds(path string, set *rules.Set, out io.Writer) error {
 	p := printer.NewTable(out, 2, 0)
 	for _, part := range set.CostBreakdown() {
-		p.Printf("%s\t%s\t%d\n", part.Class, part.What, part.Bound)
+		p.Printf("%s\t%s\t%d\n", part.Class, part.Name, part.Bound)
 	}
 	p.Printf("%s is good: %d rules, %d units at most for a message\n", path, set.RuleCount(), set.CostBound())
 	return p.Err()
--- a/decide/rules/allowed.go
+++ b/decide/rules/allowed.go
@@ -12,8 +12,8 @@
 // matchesOverload is the overload of the function matches.
 const matchesOverload = "matches_string"
 
-// allowedOverloads are the overloads that rules may use: those whose cost is known. Overloads that a newer library
-// adds are rejected until they are added here.
+// allowedOverloads contains the CEL overloads that rules may use: those whose cost is known. An overload that a newer
+// version of the library adds is rejected until it is added here.
 var allowedOverloads = func() map[string]bool {
 	all := map[string]bool{}
 	for _, id := range strings.Fields(`
@@ -37,75 +37,75 @@
 	return all
 }()
 
-// whyNotAllowed returns why rules may not use an expression, or "" if they may. Of several reasons it returns the
-// first in post-order.
-func whyNotAllowed(checked *ast.AST) string {
-	var why string
+// disallowedReason returns the first reason, in post-order, why a rule must not contain an expression. It returns "" if
+// the expression is allowed.
+func disallowedReason(checked *ast.AST) string {
+	var reason string
 	ast.PostOrderVisit(checked.Expr(), ast.NewExprVisitor(func(e ast.Expr) {
-		if why != "" {
+		if reason != "" {
 			return
 		}
 		switch e.Kind() {
 		case ast.MapKind, ast.StructKind:
-			why = "maps are not used in rules"
+			reason = "maps are not allowed in rules"
 		case ast.LiteralKind:
 			switch e.AsLiteral().(type) {
 			case types.String, types.Int, types.Double, types.Bool:
 			default:
-				why = "a literal is no string, int, double or bool"
+				reason = "a literal must be a string, int, double or bool"
 			}
 		case ast.CallKind:
-			why = whyCallNotAllowed(checked, e)
+			reason = callDisallowedReason(checked, e)
 		}
 	}))
-	return why
+	return reason
 }
 
-// whyCallNotAllowed returns why rules may not use a call, or "" if they may.
-func whyCallNotAllowed(checked *ast.AST, e ast.Expr) string {
+// callDisallowedReason returns the reason why a rule must not contain a call, or "" if the call is allowed.
+func callDisallowedReason(checked *ast.AST, e ast.Expr) string {
 	call := e.AsCall()
 	for _, overload := range checked.GetOverloadIDs(e.ID()) {
-		var why string
+		var reason string
 		switch {
 		case !allowedOverloads[overload]:
-			why = fmt.Sprintf("%s is not used in rules (%s)", call.FunctionName(), overload)
+			reason = fmt.Sprintf("%s is not allowed in rules (%s)", call.FunctionName(), overload)
 		case overload == "equals" || overload == "not_equals":
-			why = whyNotComparable(checked, call.Args()[0])
+			reason = comparisonDisallowedReason(checked, call.Args()[0])
 		case overload == matchesOverload:
 			args := call.Args()
-			why = whyNoPattern(args[len(args)-1])
+			reason = patternDisallowedReason(args[len(args)-1])
 		case slices.Contains(keyOverloads, overload):
-			why = whyNoKey(checked, call.Args())
+			reason = keyCallDisallowedReason(checked, call.Args())
 		}
-		if why != "" {
-			return why
+		if reason != "" {
+			return reason
 		}
 	}
 	return ""
 }
 
-func whyNotComparable(checked *ast.AST, operand ast.Expr) string {
+func comparisonDisallowedReason(checked *ast.AST, operand ast.Expr) string {
 	switch checked.GetType(operand.ID()).Kind() {
 	case types.ListKind, types.DynKind:
-		return "lists are not compared"
+		return "lists can't be compared"
 	}
 	return ""
 }
 
-func whyNoPattern(arg ast.Expr) string {
+func patternDisallowedReason(arg ast.Expr) string {
 	pattern, isLiteral := stringLiteral(arg)
 	if !isLiteral {
 		return "the pattern of matches must be a literal string"
 	}
 	if patternStates(pattern) == 0 {
-		return fmt.Sprintf("%q is no pattern", pattern)
+		return fmt.Sprintf("%q is not a valid pattern", pattern)
 	}
 	return ""
 }
 
-func whyNoKey(checked *ast.AST, args []ast.Expr) string {
+func keyCallDisallowedReason(checked *ast.AST, args []ast.Expr) string {
 	if tag, isLiteral := stringLiteral(args[0]); !isLiteral || !wordName.MatchString(tag) {
-		return "the first part of key must be a literal word"
+		return "the first argument of key must be a literal word"
 	}
 	for _, part := range args[1:] {
 		switch checked.GetType(part.ID()).Kind() {
@@ -117,7 +117,7 @@
 	return ""
 }
 
-// stringLiteral returns the text of an expression that is a literal string.
+// stringLiteral returns the value of a literal string. It returns false for any other expression.
 func stringLiteral(e ast.Expr) (string, bool) {
 	if e.Kind() != ast.LiteralKind {
 		return "", false
--- a/decide/rules/body.go
+++ b/decide/rules/body.go
@@ -11,14 +11,14 @@
 	"github.com/google/cel-go/cel"
 )
 
-// Sizes of a declaration that gives none.
+// Defaults of sizes that a declaration does not set.
 const (
 	defaultMaxBodyBytes = 4096
 	defaultStringChars  = 64
 	defaultListItems    = 16
 )
 
-// bytesPerUnit is the number of body bytes that are read for one cost unit.
+// bytesPerUnit is the number of body bytes that can be read at a cost of one unit.
 const bytesPerUnit = 10
 
 var (
@@ -26,12 +26,12 @@
 	wordName  = regexp.MustCompile(`^[a-zA-Z][a-zA-Z0-9_-]{0,31}$`)
 )
 
-// scalarTypes are the types of fields that are no lists, and of the items of lists.
+// scalarTypes contains the types of list items, and of fields other than lists, by their names in the file.
 var scalarTypes = map[string]*cel.Type{
 	"string": cel.StringType, "int": cel.IntType, "double": cel.DoubleType, "bool": cel.BoolType,
 }
 
-// body is the declaration of a kind of message's JSON body.
+// body is the compiled declaration of the JSON body of one kind of message.
 type body struct {
 	maxBytes   int
 	fields     []*field
@@ -69,7 +69,7 @@
 // bodyReadCost returns the cost of reading a body, in cost units.
 func bodyReadCost(bytes int) uint64 { return uint64((bytes + bytesPerUnit - 1) / bytesPerUnit) }
 
-// newBody checks the declaration of a body and returns what is correct in it.
+// newBody compiles the declaration of a body. It reports all errors, and omits fields without a valid name and type.
 func newBody(m MessageSpec, report reportFunc) *body {
 	b := &body{maxBytes: m.MaxBody, fieldIndex: map[string]int{}, objects: map[string]bool{}}
 	if b.maxBytes == 0 {
@@ -79,7 +79,7 @@
 		report("max_body", "%d is not between 1 and %d", m.MaxBody, MaxBodyBytes)
 	}
 	if len(m.Fields) > MaxFields {
-		report("field", "there are %d, more than %d", len(m.Fields), MaxFields)
+		report("field", "got %d, want at most %d", len(m.Fields), MaxFields)
 		return b
 	}
 	for _, spec := range m.Fields {
@@ -93,16 +93,16 @@
 func (b *body) addField(spec FieldSpec, report reportFunc) {
 	where := fmt.Sprintf("field %q", spec.Name)
 	if !fieldName.MatchString(spec.Name) {
-		report(where, "name: letters, digits and _, eight words at most with dots between them")
+		report(where, "name: must be at most eight words of letters, digits and _, separated by dots")
 		return
 	}
 	if b.field(spec.Name) != nil {
-		report(where, "there are two")
+		report(where, "duplicate name")
 		return
 	}
 	f := &field{name: spec.Name, variable: bodyVariable(spec.Name)}
 	if !f.setType(spec.Type) {
-		report(where, "type %q is none of string, int, double, bool and list(one of them)", spec.Type)
+		report(where, "unknown type %q, want string, int, double, bool or list(one of them)", spec.Type)
 		return
 	}
 	f.setSizes(spec, where, report)
@@ -117,7 +117,8 @@
 	b.fields = append(b.fields, f)
 }
 
-// addObjects adds the objects around fields. None of them may be a field itself.
+// addObjects adds the names of the objects that contain declared fields. It reports objects that are also declared as
+// fields.
 func (b *body) addObjects(report reportFunc) {
 	for _, f := range b.fields {
 		for i := range f.name {
@@ -126,14 +127,14 @@
 			}
 			object := f.name[:i]
 			if b.field(object) != nil {
-				report(fmt.Sprintf("field %q", f.name), "%q is a field itself", object)
+				report(fmt.Sprintf("field %q", f.name), "%q is also declared as a field", object)
 			}
 			b.objects[object] = true
 		}
 	}
 }
 
-// setType sets the type of a field; it reports false if there is no such type.
+// setType sets the type of a field. It returns false if the type is unknown.
 func (f *field) setType(name string) bool {
 	f.scalarType = name
 	if item, isList := strings.CutPrefix(name, "list("); isList && strings.HasSuffix(item, ")") {
@@ -149,14 +150,14 @@
 	return true
 }
 
-// setSizes sets the sizes of a field.
+// setSizes checks and sets the maximum sizes of a field.
 func (f *field) setSizes(spec FieldSpec, where string, report reportFunc) {
-	size := func(setting string, given, standard, limit int) int {
+	size := func(setting string, given, defaultSize, limit int) int {
 		if given < 0 || given > limit {
 			report(where, "%s: %d is not between 1 and %d", setting, given, limit)
 		}
 		if given == 0 {
-			return standard
+			return defaultSize
 		}
 		return given
 	}
@@ -166,15 +167,15 @@
 	} else {
 		f.maxChars = size("max", spec.Max, defaultStringChars, MaxStringChars)
 		if spec.MaxItem != 0 {
-			report(where, "max_item is for lists")
+			report(where, "max_item is only allowed for lists")
 		}
 	}
 	if f.scalarType != "string" && (spec.MaxItem != 0 || spec.Max != 0 && !f.list) {
-		report(where, "only strings and lists have a size")
+		report(where, "max is only allowed for strings and lists, max_item only for lists of strings")
 	}
 }
 
-// parseDefault returns the default of a field as if it had been read from a body.
+// parseDefault converts the default of a field as decode converts a value in a body.
 func (f *field) parseDefault(value any) (any, error) {
 	text, err := json.Marshal(value)
 	if err != nil {
@@ -184,7 +185,7 @@
 	decoder.UseNumber()
 	parsed, err := f.decode(decoder)
 	if err == nil && parsed == nil {
-		err = errors.New("it is nothing")
+		err = errors.New("must not be null")
 	}
 	return parsed, err
 }
--- a/decide/rules/compile.go
+++ b/decide/rules/compile.go
@@ -5,16 +5,16 @@
 	"slices"
 )
 
-// reportFunc adds an error of the rule file, with its place.
+// reportFunc records an error at a place in the rule file.
 type reportFunc func(where, format string, args ...any)
 
-// compiler checks one file and compiles it.
+// compiler compiles one rule file and collects its errors.
 type compiler struct {
 	set  *Set
 	errs CompileErrors
 }
 
-// Compile checks all of a rule file and compiles it. The error is [CompileErrors].
+// Compile compiles a rule file and, if it has no errors, evaluates its examples. The error is [CompileErrors].
 func Compile(spec Spec, classes []Class) (*Set, error) {
 	c := compiler{set: &Set{spec: spec, classes: map[string]Class{}, kinds: map[string]*messageKind{}}}
 	for _, class := range classes {
@@ -30,12 +30,12 @@
 	return c.set, nil
 }
 
-// report adds an error.
+// report implements reportFunc.
 func (c *compiler) report(where, format string, args ...any) {
 	c.errs = append(c.errs, fmt.Errorf("%s: %s", where, fmt.Sprintf(format, args...)))
 }
 
-// reportIn returns report for places inside another place.
+// reportIn returns a reportFunc for places inside another place, which it prepends.
 func (c *compiler) reportIn(place string) reportFunc {
 	return func(where, format string, args ...any) { c.report(place+", "+where, format, args...) }
 }
@@ -45,12 +45,12 @@
 	if !c.checkCounts() {
 		return
 	}
-	dialects := c.compileMessages()
-	c.compileRules(dialects)
+	compilers := c.compileMessages()
+	c.compileRules(compilers)
 	c.checkCosts()
 }
 
-// checkSettings sets the defaults of the file's own settings and checks them.
+// checkSettings sets the defaults of the file's top-level settings and checks the settings.
 func (c *compiler) checkSettings() {
 	spec := &c.set.spec
 	if spec.OnInvalid == "" {
@@ -63,11 +63,11 @@
 		spec.MaxCost = DefaultMaxCost
 	}
 	if spec.MaxCost > MaxCostLimit {
-		c.report("max_cost", "%d is over %d", spec.MaxCost, MaxCostLimit)
+		c.report("max_cost", "%d exceeds the limit of %d", spec.MaxCost, MaxCostLimit)
 	}
 }
 
-// checkCounts reports whether the file has no more tables of each sort than it may.
+// checkCounts checks the number of tables of each sort against its limit. It returns false if it reported an error.
 func (c *compiler) checkCounts() bool {
 	for _, tables := range []struct {
 		name         string
@@ -78,67 +78,67 @@
 		{"example", len(c.set.spec.Examples), MaxExamples},
 	} {
 		if tables.count > tables.limit {
-			c.report(tables.name, "there are %d, more than %d", tables.count, tables.limit)
+			c.report(tables.name, "got %d, want at most %d", tables.count, tables.limit)
 			return false
 		}
 	}
 	return true
 }
 
-// compileMessages compiles the declarations of messages. It returns the dialect of each kind, by class.
-func (c *compiler) compileMessages() map[string]*dialect {
-	dialects := map[string]*dialect{}
+// compileMessages compiles the declarations of messages. It returns the expression compiler of each kind, by class.
+func (c *compiler) compileMessages() map[string]*expressionCompiler {
+	compilers := map[string]*expressionCompiler{}
 	identityOwners := map[string]string{}
 	for i, m := range c.set.spec.Messages {
 		place := fmt.Sprintf("message %d (%q)", i+1, m.Class)
 		if _, exists := c.set.classes[m.Class]; !exists {
-			c.report(place, "class: there is none of this name")
+			c.report(place, "class: unknown class %q", m.Class)
 		}
-		if dialects[m.Class] != nil {
-			c.report(place, "class: there are two")
+		if compilers[m.Class] != nil {
+			c.report(place, "class: duplicate declaration")
 			continue
 		}
-		dialects[m.Class] = c.compileMessage(place, m, identityOwners)
+		compilers[m.Class] = c.compileMessage(place, m, identityOwners)
 	}
-	return dialects
+	return compilers
 }
 
 // compileRules compiles each rule for each kind of message that it names.
-func (c *compiler) compileRules(dialects map[string]*dialect) {
+func (c *compiler) compileRules(compilers map[string]*expressionCompiler) {
 	names := map[string]bool{}
 	for i := range c.set.spec.Rules {
 		spec := &c.set.spec.Rules[i]
 		place := fmt.Sprintf("rule %d (%q)", i+1, spec.Name)
 		c.checkRule(place, spec, names)
 		for j, class := range spec.For {
-			d := dialects[class]
+			ec := compilers[class]
 			switch {
 			case slices.Contains(spec.For[:j], class):
-				c.report(place, "for: %q is there twice", class)
-			case d == nil:
+				c.report(place, "for: duplicate message %q", class)
+			case ec == nil:
 				c.report(place, "for: no message %q is declared", class)
-			case d.env != nil:
-				c.compileRule(place, i, spec, d)
+			case ec.env != nil:
+				c.compileRule(place, i, spec, ec)
 			}
 		}
 	}
 }
 
-// checkRule checks the settings of a rule that do not depend on a kind of message. names has the names of earlier
-// rules.
+// checkRule checks the settings of a rule that do not depend on a kind of message. names is the set of names of earlier
+// rules, to which checkRule adds the rule's name.
 func (c *compiler) checkRule(place string, spec *RuleSpec, names map[string]bool) {
 	if spec.Name == "" {
-		c.report(place, "name: it is missing")
+		c.report(place, "name: must not be empty")
 	}
 	if names[spec.Name] {
-		c.report(place, "name: there are two")
+		c.report(place, "name: duplicate rule name")
 	}
 	names[spec.Name] = true
 	if spec.Class == "" && spec.Key == "" {
-		c.report(place, "it gives neither a class nor a key")
+		c.report(place, "class or key must be set")
 	}
 	if len(spec.For) == 0 {
-		c.report(place, "for: it is missing")
+		c.report(place, "for: must not be empty")
 	}
 }
 
@@ -153,14 +153,15 @@
 		kind.costBound = kind.highestCost()
 		s.costBound = max(s.costBound, kind.costBound)
 		if kind.costBound > s.spec.MaxCost {
-			c.report(fmt.Sprintf("message %q", m.Class), "its rules may cost %s units, max_cost is %d; the dearest: %s",
-				formatCost(kind.costBound), s.spec.MaxCost, kind.describeHighestCost())
+			c.report(fmt.Sprintf("message %q", m.Class), "evaluating its rules may cost %s units, over max_cost %d; most expensive part: %s",
+				formatCost(kind.costBound), s.spec.MaxCost, kind.describeMostExpensivePart())
 		}
 	}
 }
 
-// highestCost returns the cost of the most expensive evaluation: reading the body, the conditions of all rules up to
-// one, and the class and key of that rule. It is not the sum over all rules, since only one rule gives a result.
+// highestCost returns the cost of the most expensive evaluation: reading the body, evaluating the conditions of the
+// rules up to and including the one that matches, and evaluating the class and key of that rule. It is not the sum over
+// all rules, since only one rule gives a result.
 func (k *messageKind) highestCost() uint64 {
 	conditions, highest := k.body.costBound(), uint64(0)
 	for _, r := range k.rules {
@@ -178,8 +179,9 @@
 	return highest
 }
 
-// describeHighestCost names the most expensive expression with its cost.
-func (k *messageKind) describeHighestCost() string {
+// describeMostExpensivePart names the most expensive part of an evaluation, with its cost: reading the body or one
+// expression.
+func (k *messageKind) describeMostExpensivePart() string {
 	name, highest := "reading the body", k.body.costBound()
 	for _, r := range k.rules {
 		for _, p := range r.programs() {
--- a/decide/rules/compile_message.go
+++ b/decide/rules/compile_message.go
@@ -7,70 +7,70 @@
 	"github.com/google/cel-go/cel"
 )
 
-// dialect is what expressions about one kind of message may use.
-type dialect struct {
+// expressionCompiler compiles the expressions about one kind of message.
+type expressionCompiler struct {
 	kind       *messageKind
 	env        *cel.Env // nil if the declaration has errors
 	costs      costEstimator
 	identities map[string][]string // names of variables, by the identity's name
 }
 
-// compileMessage compiles the declaration of one kind of message. identityOwners has the classes of earlier
-// declarations by the names of their identities: an identity belongs to one kind of message.
-func (c *compiler) compileMessage(place string, m MessageSpec, identityOwners map[string]string) *dialect {
+// compileMessage compiles the declaration of one kind of message. identityOwners maps the names of the identities of
+// earlier declarations to their classes: only one kind of message may declare an identity of a name.
+func (c *compiler) compileMessage(place string, m MessageSpec, identityOwners map[string]string) *expressionCompiler {
 	report := c.reportIn(place)
 	errorsBefore := len(c.errs)
 	kind := &messageKind{class: m.Class, body: newBody(m, report)}
 	c.set.kinds[m.Class] = kind
-	d := &dialect{kind: kind, costs: newCostEstimator(kind.body), identities: map[string][]string{}}
+	ec := &expressionCompiler{kind: kind, costs: newCostEstimator(kind.body), identities: map[string][]string{}}
 	for _, identity := range m.Identities {
-		d.addIdentity(identity, identityOwners, report)
+		ec.addIdentity(identity, identityOwners, report)
 	}
 	if len(c.errs) > errorsBefore {
-		return d
+		return ec
 	}
 	env, err := newEnvironment(kind.body)
 	if err != nil {
 		report("field", "%v", err)
-		return d
+		return ec
 	}
 	for _, f := range kind.body.fields {
 		if _, issues := env.Compile(f.variable); issues.Err() != nil {
-			report(fmt.Sprintf("field %q", f.name), "name: a word in it is reserved")
-			return d
+			report(fmt.Sprintf("field %q", f.name), "name: contains a reserved word")
+			return ec
 		}
 	}
-	d.env = env
-	return d
+	ec.env = env
+	return ec
 }
 
-// addIdentity checks an identity and adds it.
-func (d *dialect) addIdentity(identity IdentitySpec, owners map[string]string, report reportFunc) {
+// addIdentity checks and adds an identity.
+func (ec *expressionCompiler) addIdentity(identity IdentitySpec, owners map[string]string, report reportFunc) {
 	where := fmt.Sprintf("identity %q", identity.Name)
 	if !wordName.MatchString(identity.Name) {
-		report(where, "name: a letter, then letters, digits, _ and -")
+		report(where, "name: must be a letter, followed by letters, digits, _ and -")
 	}
 	if owner, exists := owners[identity.Name]; exists {
-		report(where, "message %q has one of this name", owner)
+		report(where, "already declared for message %q", owner)
 	}
-	owners[identity.Name] = d.kind.class
+	owners[identity.Name] = ec.kind.class
 	if len(identity.Fields) == 0 || len(identity.Fields) > maxKeyParts {
-		report(where, "it has 1 to %d fields", maxKeyParts)
+		report(where, "must have 1 to %d fields", maxKeyParts)
 	}
 	var variables []string
 	for i, name := range identity.Fields {
-		f := d.kind.body.field(name)
+		f := ec.kind.body.field(name)
 		switch {
 		case f == nil:
-			report(where, "%q is no field", name)
+			report(where, "field %q is not declared", name)
 		case slices.Contains(identity.Fields[:i], name):
-			report(where, "%q is there twice", name)
+			report(where, "duplicate field %q", name)
 		case f.list || f.scalarType == "double":
-			report(where, "%q is no string, int or bool", name)
+			report(where, "field %q must be a string, int or bool", name)
 		case f.defaultValue != nil:
-			report(where, "%q has a default: what makes a message what it is must be there", name)
+			report(where, "field %q has a default: a field of an identity must be required", name)
 		}
 		variables = append(variables, bodyVariable(name))
 	}
-	d.identities[identity.Name] = variables
+	ec.identities[identity.Name] = variables
 }
--- a/decide/rules/compile_rule.go
+++ b/decide/rules/compile_rule.go
@@ -11,47 +11,48 @@
 )
 
 // compileRule compiles a rule for one kind of message and adds it to the kind.
-func (c *compiler) compileRule(place string, index int, spec *RuleSpec, d *dialect) {
+func (c *compiler) compileRule(place string, index int, spec *RuleSpec, ec *expressionCompiler) {
 	report := c.reportIn(place)
 	errorsBefore := len(c.errs)
 	r := rule{index: index, name: spec.Name}
 	var class, key *ast.AST
-	r.when, _ = d.compileExpression(report, "when", spec.When, cel.BoolType)
-	r.class, class = d.compileExpression(report, "class", spec.Class, cel.StringType)
-	r.key, key = d.compileExpression(report, "key", spec.Key, cel.StringType)
+	r.when, _ = ec.compileExpression(report, "when", spec.When, cel.BoolType)
+	r.class, class = ec.compileExpression(report, "class", spec.Class, cel.StringType)
+	r.key, key = ec.compileExpression(report, "key", spec.Key, cel.StringType)
 	if len(c.errs) > errorsBefore {
 		return
 	}
-	r.possibleClasses = []string{d.kind.class}
+	r.possibleClasses = []string{ec.kind.class}
 	if class != nil {
-		classes, ok := c.classesOf(class, d.kind.class, report)
+		classes, ok := c.possibleClasses(class, ec.kind.class, report)
 		if !ok {
 			return
 		}
 		r.possibleClasses = classes
 	}
-	c.checkGuarantees(spec, r.possibleClasses, key, d, report)
+	c.checkGuarantees(spec, r.possibleClasses, key, ec, report)
 	if key != nil {
-		d.kind.computesKeys = true
+		ec.kind.computesKeys = true
 	}
-	d.kind.rules = append(d.kind.rules, r)
+	ec.kind.rules = append(ec.kind.rules, r)
 }
 
-// classesOf returns the classes that a class expression may give. Each must be known at load, so the expression must
-// be a literal, msg.class, or a choice between such. It reports false after it reported an error.
-func (c *compiler) classesOf(expression *ast.AST, clientClass string, report reportFunc) ([]string, bool) {
+// possibleClasses returns the possible values of a class expression. They must be known at compile time, so the
+// expression must be a literal string, msg.class, or a conditional expression of these. possibleClasses returns false if
+// it reported an error.
+func (c *compiler) possibleClasses(expression *ast.AST, clientClass string, report reportFunc) ([]string, bool) {
 	var classes []string
-	for _, choice := range choices(expression.Expr()) {
-		name, known := stringLiteral(choice)
-		if choice.Kind() == ast.IdentKind && choice.AsIdent() == "msg.class" {
+	for _, branch := range branches(expression.Expr()) {
+		name, known := stringLiteral(branch)
+		if branch.Kind() == ast.IdentKind && branch.AsIdent() == "msg.class" {
 			name, known = clientClass, true
 		}
 		if !known {
-			report("class", "it must be a literal string, or a choice of such by conditions")
+			report("class", "must be a literal string, msg.class, or a conditional expression of these")
 			return nil, false
 		}
 		if _, exists := c.set.classes[name]; !exists {
-			report("class", "there is no class %q", name)
+			report("class", "unknown class %q", name)
 			return nil, false
 		}
 		if !slices.Contains(classes, name) {
@@ -61,54 +62,54 @@
 	return classes, true
 }
 
-// checkGuarantees checks that no possible class of a rule weakens a guarantee by accident: repeats may only become
-// more harmful where the rule is marked relaxes, and the keys of a deduplicated class must tell messages apart. key
-// is nil if the rule computes none.
-func (c *compiler) checkGuarantees(spec *RuleSpec, possibleClasses []string, key *ast.AST, d *dialect, report reportFunc) {
-	from := c.set.classes[d.kind.class]
+// checkGuarantees checks that no possible class of a rule unintentionally weakens a guarantee. A class that allows
+// repeats which are harmful in the client's class requires a rule marked relaxes. Different messages of a deduplicated
+// class must have different keys. key is nil if the rule computes none.
+func (c *compiler) checkGuarantees(spec *RuleSpec, possibleClasses []string, key *ast.AST, ec *expressionCompiler, report reportFunc) {
+	from := c.set.classes[ec.kind.class]
 	relaxed := false
 	for _, name := range possibleClasses {
 		to := c.set.classes[name]
 		weaker := isWeaker(from.Repeat, to.Repeat)
 		relaxed = relaxed || weaker
 		if weaker && !spec.Relaxes {
-			report("class", "a repeat of a message of %q does more harm than %q allows for: say relaxes = true if it is harmless", from.Name, to.Name)
+			report("class", "%q allows repeats that may be harmful in %q: set relaxes = true if they are harmless", to.Name, from.Name)
 		}
 		if to.Repeat == policy.Deduplicated {
-			d.checkDeduplicationKey(from, to, key, report)
+			ec.checkDeduplicationKey(from, to, key, report)
 		}
 	}
-	// A rule for several kinds may relax only one of them.
+	// A rule for several kinds may weaken the guarantee of only one of them.
 	if spec.Relaxes && !relaxed && len(spec.For) == 1 {
-		report("relaxes", "nothing is relaxed")
+		report("relaxes", "no class of the rule gives a weaker guarantee")
 	}
 }
 
-// isWeaker reports whether class to allows repeats that would be harmful in class from.
+// isWeaker reports whether a class with the setting to allows repeats that would be harmful in a class with from.
 func isWeaker(from, to policy.Repeat) bool {
 	byHarm := []policy.Repeat{policy.Idempotent, policy.Deduplicated, policy.AtMostOnce}
 	return slices.Index(byHarm, to) < slices.Index(byHarm, from)
 }
 
-// checkDeduplicationKey checks that messages which become deduplicated have a key, and that two different messages
-// never share it: the partner would drop the second one.
-func (d *dialect) checkDeduplicationKey(from, to Class, key *ast.AST, report reportFunc) {
+// checkDeduplicationKey checks that messages that a rule moves to a deduplicated class have a key, and that two
+// different messages never have the same key: the partner would drop the second one.
+func (ec *expressionCompiler) checkDeduplicationKey(from, to Class, key *ast.AST, report reportFunc) {
 	if key == nil {
 		if from.Repeat != policy.Deduplicated {
-			report("key", "it is missing: %q is a keyed class, and clients need not give %q a key", to.Name, from.Name)
+			report("key", "must be set: %q is a keyed class, and messages of class %q may have no key", to.Name, from.Name)
 		}
 		return
 	}
-	for _, choice := range choices(key.Expr()) {
-		if why := d.whyNotUnique(choice, from); why != "" {
-			report("key", "%s: %q is a keyed class, in which messages with one key count as one", why, to.Name)
+	for _, branch := range branches(key.Expr()) {
+		if reason := ec.notUniqueReason(branch, from); reason != "" {
+			report("key", "%s: %q is a keyed class, whose messages are deduplicated by key", reason, to.Name)
 			return
 		}
 	}
 }
 
-// whyNotUnique returns why a key may be the same for two different messages, or "" if it can't be.
-func (d *dialect) whyNotUnique(key ast.Expr, from Class) string {
+// notUniqueReason returns the reason why two different messages may have the same key, or "" if they can't.
+func (ec *expressionCompiler) notUniqueReason(key ast.Expr, from Class) string {
 	if key.Kind() == ast.IdentKind {
 		switch key.AsIdent() {
 		case "msg.id":
@@ -117,7 +118,7 @@
 			if from.Repeat == policy.Deduplicated {
 				return ""
 			}
-			return "clients need not give a key"
+			return "msg.key may be empty"
 		}
 	}
 	if key.Kind() != ast.CallKind || key.AsCall().FunctionName() != keyFunction {
@@ -125,33 +126,34 @@
 	}
 	args := key.AsCall().Args()
 	tag, _ := stringLiteral(args[0])
-	fields, exists := d.identities[tag]
+	fields, exists := ec.identities[tag]
 	if !exists {
-		return fmt.Sprintf("%q is no identity of message %q", tag, d.kind.class)
+		return fmt.Sprintf("message %q has no identity %q", ec.kind.class, tag)
 	}
 	isField := func(arg ast.Expr, field string) bool { return arg.Kind() == ast.IdentKind && arg.AsIdent() == field }
 	if !slices.EqualFunc(args[1:], fields, isField) {
-		return fmt.Sprintf("identity %q is key(%q, %s)", tag, tag, strings.Join(fields, ", "))
+		return fmt.Sprintf("the key of identity %q must be key(%q, %s)", tag, tag, strings.Join(fields, ", "))
 	}
 	return ""
 }
 
-// choices returns the expressions whose value a conditional expression may have, or the expression itself.
-func choices(e ast.Expr) []ast.Expr {
+// branches returns the branches of a conditional expression, those of nested ones included. For any other expression it
+// returns the expression itself.
+func branches(e ast.Expr) []ast.Expr {
 	if e.Kind() == ast.CallKind && e.AsCall().FunctionName() == "_?_:_" {
 		args := e.AsCall().Args()
-		return append(choices(args[1]), choices(args[2])...)
+		return append(branches(args[1]), branches(args[2])...)
 	}
 	return []ast.Expr{e}
 }
 
 // compileExpression compiles one expression of a rule. It returns nil if the source is empty or has errors, which it
 // reports.
-func (d *dialect) compileExpression(report reportFunc, where, source string, want *cel.Type) (*program, *ast.AST) {
+func (ec *expressionCompiler) compileExpression(report reportFunc, where, source string, want *cel.Type) (*program, *ast.AST) {
 	if strings.TrimSpace(source) == "" {
 		return nil, nil
 	}
-	compiled, issues := d.env.Compile(source)
+	compiled, issues := ec.env.Compile(source)
 	if issues.Err() != nil {
 		for _, e := range issues.Errors() {
 			report(fmt.Sprintf("%s, line %d, column %d", where, e.Location.Line(), e.Location.Column()+1), "%s", e.Message)
@@ -159,20 +161,20 @@
 		return nil, nil
 	}
 	if !compiled.OutputType().IsExactType(want) {
-		report(where, "it is %s, not %s", cel.FormatCELType(compiled.OutputType()), cel.FormatCELType(want))
+		report(where, "got type %s, want %s", cel.FormatCELType(compiled.OutputType()), cel.FormatCELType(want))
 		return nil, nil
 	}
 	checked := compiled.NativeRep()
-	if why := whyNotAllowed(checked); why != "" {
-		report(where, "%s", why)
+	if reason := disallowedReason(checked); reason != "" {
+		report(where, "%s", reason)
 		return nil, nil
 	}
-	estimate, err := d.env.EstimateCost(compiled, d.costs)
+	estimate, err := ec.env.EstimateCost(compiled, ec.costs)
 	if err != nil {
-		report(where, "what it costs is not known: %v", err)
+		report(where, "estimating the cost: %v", err)
 		return nil, nil
 	}
-	run, err := d.env.Program(compiled, cel.EvalOptions(cel.OptOptimize),
+	run, err := ec.env.Program(compiled, cel.EvalOptions(cel.OptOptimize),
 		cel.CostTracking(newCostCounter(checked)), cel.CostLimit(estimate.Max))
 	if err != nil {
 		report(where, "%v", err)
--- a/decide/rules/cost.go
+++ b/decide/rules/cost.go
@@ -12,25 +12,25 @@
 	"github.com/google/cel-go/common/types/traits"
 )
 
-// costFunction returns the cost of a call, in cost units, and the size of its result, for arguments of these sizes.
+// costFunction returns the cost of a call, in cost units, and the size of its result, given the sizes of its arguments.
 // An infinite size gives an infinite cost.
 //
-// The estimate before a rule runs and the count while it runs use the same functions: the library's own costs differ
-// between the two where an argument has failed. A call without a cost function costs 1 in both; its cost does not
-// depend on a size.
+// The estimate at compile time and the count during evaluation use the same functions, because the library's own costs
+// differ between the two if evaluating an argument has failed. A call without a cost function costs 1 in both; its cost
+// does not depend on a size.
 type costFunction func(sizes []uint64) (cost, resultSize uint64)
 
-// infinite is a size or a cost without a bound. The library's sums saturate at the same value.
+// infinite represents an unbounded size or cost. The library's sums saturate at the same value.
 const infinite = math.MaxUint64
 
 const (
-	// Highest number of characters of a value as text.
+	// Maximum number of characters of a value that is converted to a string.
 	intChars, doubleChars, boolChars = 20, 32, 5
-	// charsPerUnit is the number of characters that are read for one cost unit.
+	// charsPerUnit is the number of characters that can be read at a cost of one unit.
 	charsPerUnit = 10
-	// keyBytesPerChar is the highest number of bytes of a character in a key: four in UTF-8, each escaped as three.
+	// keyBytesPerChar is the maximum number of bytes of a character in a key: four bytes in UTF-8, each escaped to three.
 	keyBytesPerChar = 12
-	// keyCallCost is the cost of a call of key without parts, in cost units.
+	// keyCallCost is the cost of a call of key, in cost units, to which the costs of its arguments are added.
 	keyCallCost = 10
 )
 
@@ -56,12 +56,12 @@
 	return saturatingAdd(chars/charsPerUnit, min(1, chars%charsPerUnit))
 }
 
-// transformCost is the cost of a function that reads a string and returns one that is no longer.
+// transformCost is the cost of a function that reads a string and returns a string that is not longer.
 func transformCost(sizes []uint64) (cost, resultSize uint64) {
 	return saturatingAdd(1, readCost(sizes[0])), sizes[0]
 }
 
-// constantCost is the cost of a function whose arguments have no size.
+// constantCost is the cost of a function whose cost does not depend on the sizes of its arguments.
 func constantCost(resultSize uint64) costFunction {
 	return func([]uint64) (uint64, uint64) { return 1, resultSize }
 }
@@ -71,7 +71,7 @@
 	return saturatingAdd(1, readCost(min(sizes[0], sizes[1]))), 1
 }
 
-// affixCost is the cost of comparing the beginning or the end of a string.
+// affixCost is the cost of comparing a string with the beginning or the end of another one.
 func affixCost(sizes []uint64) (cost, resultSize uint64) {
 	return saturatingAdd(1, readCost(sizes[1])), 1
 }
@@ -82,7 +82,7 @@
 	return saturatingAdd(1, readCost(total)), total
 }
 
-// containsCost is the cost of searching a string in another one.
+// containsCost is the cost of searching a string for another one.
 func containsCost(sizes []uint64) (cost, resultSize uint64) {
 	return saturatingAdd(1, saturatingMultiply(readCost(sizes[0]), readCost(sizes[1]))), 1
 }
@@ -93,13 +93,13 @@
 	return saturatingAdd(1, saturatingMultiply(sizes[1], saturatingAdd(1, readCost(sizes[0])))), 1
 }
 
-// matchesCost is the cost of matching a string with a pattern. The size of the pattern is its patternStates.
+// matchesCost is the cost of matching a string against a pattern. The size of the pattern is its patternStates.
 func matchesCost(sizes []uint64) (cost, resultSize uint64) {
 	return saturatingAdd(1, readCost(saturatingMultiply(saturatingAdd(1, sizes[0]), sizes[1]))), 1
 }
 
-// indexCost is the cost of an index: while a rule runs it counts as a step and, on anything but a name, as another.
-// The library knows the size of the item.
+// indexCost is the cost of indexing a list. During evaluation the library counts one unit for it, and another one if the
+// operand is not a variable. The library itself determines the size of the item.
 func indexCost([]uint64) (cost, resultSize uint64) { return 2, infinite }
 
 // keyCost is the cost of the function key: each part is escaped, and the result may be hashed.
@@ -111,7 +111,7 @@
 	return cost, maxKeyBytes
 }
 
-// functionCosts are the costs of calls by overload.
+// functionCosts contains the cost functions of calls, by overload.
 var functionCosts = addKeyCosts(map[string]costFunction{
 	"int64_to_string":       constantCost(intChars),
 	"double_to_string":      constantCost(doubleChars),
@@ -145,7 +145,7 @@
 	return costs
 }
 
-// patternStates returns the number of states of a pattern's program, or 0 if the pattern is not valid.
+// patternStates returns the number of states of a compiled pattern, or 0 if the pattern is not valid.
 func patternStates(pattern string) uint64 {
 	re, err := syntax.Parse(pattern, syntax.Perl)
 	if err != nil {
@@ -158,14 +158,14 @@
 	return uint64(len(prog.Inst))
 }
 
-// costEstimator estimates the cost of expressions before they run, from the declared sizes.
+// costEstimator estimates the cost of expressions at compile time from the declared sizes.
 type costEstimator struct {
 	stringChars map[string]uint64 // by variable
 	listItems   map[string]uint64 // by variable
 	itemChars   map[string]uint64 // of a list's strings, by variable
 }
 
-// newCostEstimator returns the estimator for messages with a body.
+// newCostEstimator returns the estimator for messages whose bodies match a declaration.
 func newCostEstimator(b *body) costEstimator {
 	e := costEstimator{
 		stringChars: map[string]uint64{"msg.id": maxKeyBytes, "msg.key": maxKeyBytes, "msg.class": maxKeyBytes},
@@ -200,7 +200,7 @@
 	return nil
 }
 
-// declaredSize returns the size that is declared for a variable, or nil.
+// declaredSize returns the range of the size that is declared for a variable, or nil if none is declared.
 func declaredSize(sizes map[string]uint64, variable string) *checker.SizeEstimate {
 	size, declared := sizes[variable]
 	if !declared {
@@ -213,8 +213,8 @@
 
 // EstimateCallCost implements [checker.CostEstimator].
 func (e costEstimator) EstimateCallCost(_, overload string, target *checker.AstNode, args []checker.AstNode) *checker.CallEstimate {
-	costOf := functionCosts[overload]
-	if costOf == nil {
+	callCost := functionCosts[overload]
+	if callCost == nil {
 		return nil
 	}
 	if target != nil {
@@ -222,14 +222,14 @@
 	}
 	sizes := make([]uint64, len(args))
 	for i, arg := range args {
-		sizes[i] = estimateArgument(overload, i, arg)
+		sizes[i] = estimateArgumentSize(overload, i, arg)
 	}
-	cost, resultSize := costOf(sizes)
+	cost, resultSize := callCost(sizes)
 	return &checker.CallEstimate{CostEstimate: checker.CostEstimate{Max: cost}, ResultSize: sizeUpTo(resultSize)}
 }
 
-// estimateArgument returns the highest size of an argument of a call.
-func estimateArgument(overload string, index int, arg checker.AstNode) uint64 {
+// estimateArgumentSize returns the maximum size of an argument of a call.
+func estimateArgumentSize(overload string, index int, arg checker.AstNode) uint64 {
 	if isPattern(overload, index) {
 		if pattern, ok := stringLiteral(arg.Expr()); ok {
 			return patternStates(pattern)
@@ -245,12 +245,12 @@
 // isPattern reports whether an argument is a pattern, whose size is its patternStates.
 func isPattern(overload string, index int) bool { return overload == matchesOverload && index == 1 }
 
-// costCounter counts the cost of an expression while it runs.
+// costCounter counts the cost of an expression during its evaluation.
 type costCounter struct {
 	states map[string]uint64 // patternStates of the expression's literal strings
 }
 
-// newCostCounter returns the counter of an expression.
+// newCostCounter returns a counter for an expression.
 func newCostCounter(checked *ast.AST) costCounter {
 	states := map[string]uint64{}
 	ast.PostOrderVisit(checked.Expr(), ast.NewExprVisitor(func(e ast.Expr) {
@@ -263,15 +263,15 @@
 
 // CallCost implements [interpreter.ActualCostEstimator].
 func (c costCounter) CallCost(_, overload string, args []ref.Val, _ ref.Val) *uint64 {
-	costOf := functionCosts[overload]
-	if costOf == nil {
+	callCost := functionCosts[overload]
+	if callCost == nil {
 		return nil
 	}
 	sizes := make([]uint64, len(args))
 	for i, arg := range args {
 		sizes[i] = c.argumentSize(overload, i, arg)
 	}
-	cost, _ := costOf(sizes)
+	cost, _ := callCost(sizes)
 	return &cost
 }
 
@@ -283,7 +283,7 @@
 	switch value := arg.(type) {
 	case traits.Sizer: // strings and lists
 		return uint64(value.Size().(types.Int))
-	case *types.Err: // the argument has failed
+	case *types.Err: // evaluating the argument has failed
 		return 0
 	default:
 		return 1
--- a/decide/rules/cost_test.go
+++ b/decide/rules/cost_test.go
@@ -11,19 +11,22 @@
 	"pgregory.net/rapid"
 )
 
-// generator generates expressions of a type, from everything that rules may use.
+// generator generates random expressions from everything that rules may use.
 type generator struct {
-	t    *rapid.T
-	vars map[string][]string // in scope, by type
-	loop int                 // nested loops around the expression
-	n    int                 // loop variables so far
+	t             *rapid.T
+	vars          map[string][]string // in scope, by type
+	loopDepth     int                 // loops around the current expression
+	loopVariables int                 // number of loop variables so far
 }
 
-func (g *generator) pick(of ...string) string { return rapid.SampledFrom(of).Draw(g.t, "pick") }
+func (g *generator) pick(choices ...string) string {
+	return rapid.SampledFrom(choices).Draw(g.t, "pick")
+}
 
-// expression returns an expression; %s, %i, %b, %d, %S, %I are expressions of those types (S and I are lists).
+// expression returns an expression of a type: s (string), i (int), d (double), b (bool), S (list of strings) or I (list
+// of ints). In the templates % and a type is replaced by an expression of the type, and %v by a new loop variable.
 func (g *generator) expression(typ string, depth int) string {
-	forms := map[string][]string{
+	templates := map[string][]string{
 		"s": {`"a"`, `"urgent line"`, `""`},
 		"i": {"0", "7", "-3"},
 		"d": {"1.5", "0.0"},
@@ -31,9 +34,9 @@
 		"S": {`["a", "line-1"]`, `[""]`},
 		"I": {"[1, 2, 3]"},
 	}[typ]
-	forms = append(forms, g.vars[typ]...)
+	templates = append(templates, g.vars[typ]...)
 	if depth > 0 && rapid.IntRange(0, 9).Draw(g.t, "nested") > 0 {
-		forms = map[string][]string{
+		templates = map[string][]string{
 			"s": {
 				"%s + %s", "%b ? %s : %s", "%s.lower()", "%s.upper()", "%s.trim()", "%s.left(%i)", "string(%i)", "string(%d)", "string(%b)",
 				"string(%s)", "%S[%i]", `key("k", %s, %i, %b)`, `key("k", %s)`,
@@ -49,45 +52,45 @@
 			"I": {"[%i, %i, %i]", "%I + %I", "%I.filter(%v, %b)", "%S.map(%v, %i)"},
 		}[typ]
 	}
-	form := g.pick(forms...)
-	if strings.Contains(form, "%v") && g.loop > 2 {
-		form = map[string]string{"b": "true", "S": `["a"]`, "I": "[1]"}[typ]
+	template := g.pick(templates...)
+	if strings.Contains(template, "%v") && g.loopDepth > 2 {
+		template = map[string]string{"b": "true", "S": `["a"]`, "I": "[1]"}[typ]
 	}
 	var out strings.Builder
-	variable, of, first := "", "", ""
-	for i := 0; i < len(form); i++ {
-		if form[i] != '%' || i+1 == len(form) || form[i+1] == ' ' {
-			out.WriteByte(form[i])
+	variable, itemType, listType := "", "", "" // of the loop
+	for i := 0; i < len(template); i++ {
+		if template[i] != '%' || i+1 == len(template) || template[i+1] == ' ' {
+			out.WriteByte(template[i])
 			continue
 		}
 		i++
-		switch c := form[i : i+1]; c {
+		switch c := template[i : i+1]; c {
 		case "v":
-			g.n++
-			variable = fmt.Sprint("v", g.n)
-			of = strings.ToLower(first)
+			g.loopVariables++
+			variable = fmt.Sprint("v", g.loopVariables)
+			itemType = strings.ToLower(listType)
 			out.WriteString(variable)
-			g.vars[of] = append(g.vars[of], variable)
-			g.loop++
+			g.vars[itemType] = append(g.vars[itemType], variable)
+			g.loopDepth++
 		default:
-			if first == "" {
-				first = c
+			if listType == "" { // a loop's list comes first
+				listType = c
 			}
 			out.WriteString("(" + g.expression(c, depth-1) + ")")
 		}
 	}
 	if variable != "" {
-		g.vars[of] = g.vars[of][:len(g.vars[of])-1]
-		g.loop--
+		g.vars[itemType] = g.vars[itemType][:len(g.vars[itemType])-1]
+		g.loopDepth--
 	}
 	return out.String()
 }
 
-// value draws a value of a field, often of the largest size.
-func value(t *rapid.T, f FieldSpec) any {
+// drawFieldValue draws a value of a field, often of the maximum size.
+func drawFieldValue(t *rapid.T, f FieldSpec) any {
 	text := func(maxChars int) string {
 		if rapid.Bool().Draw(t, "long") {
-			return strings.Repeat(rapid.SampledFrom([]string{"a", "é", "1", "\n"}).Draw(t, "of"), maxChars)
+			return strings.Repeat(rapid.SampledFrom([]string{"a", "é", "1", "\n"}).Draw(t, "character"), maxChars)
 		}
 		return rapid.StringOfN(rapid.RuneFrom([]rune("ab19- é%:")), 0, maxChars, -1).Draw(t, "text")
 	}
@@ -118,7 +121,7 @@
 	return all
 }
 
-// Evaluating any message by any rules costs no more than the bound that was stated before.
+// Evaluating any message by any rules costs at most the bound computed at compile time.
 func TestCostNeverExceedsItsBound(t *testing.T) {
 	fields := []FieldSpec{
 		{Name: "s", Type: "string", Max: 40},
@@ -141,9 +144,9 @@
 		}
 		set, err := Compile(spec, classes)
 		if err != nil {
-			// Too expensive, too long, or of constants without a value.
-			known := func(s string) bool { return strings.Contains(err.Error(), s) }
-			if !slices.ContainsFunc([]string{"may cost", "size exceeds", "recursion", "type conversion error", "by zero", "overflow", "out of range", "range error"}, known) {
+			// The expression is too expensive or too long, or evaluating a constant part of it fails.
+			expected := func(s string) bool { return strings.Contains(err.Error(), s) }
+			if !slices.ContainsFunc([]string{"may cost", "size exceeds", "recursion", "type conversion error", "by zero", "overflow", "out of range", "range error"}, expected) {
 				t.Fatalf("%+v: %v", spec.Rules, err)
 			}
 			rejected++
@@ -151,10 +154,10 @@
 		}
 		compiled++
 		for range 8 {
-			body := map[string]any{"o": map[string]any{"t": value(t, fields[1])}}
+			body := map[string]any{"o": map[string]any{"t": drawFieldValue(t, fields[1])}}
 			for _, f := range fields {
 				if f.Name != "o.t" {
-					body[f.Name] = value(t, f)
+					body[f.Name] = drawFieldValue(t, f)
 				}
 			}
 			text, err := json.Marshal(body)
@@ -168,8 +171,8 @@
 			if errors.As(err, &invalid) {
 				failed++
 				cost = invalid.Cost
-				if strings.Contains(invalid.Why, "limit") {
-					t.Fatalf("got stopped at the bound: %v, want within it\n%+v\n%s", invalid, spec.Rules, text)
+				if strings.Contains(invalid.Reason, "limit") {
+					t.Fatalf("evaluation stopped at the cost bound: %v, want it within the bound\n%+v\n%s", invalid, spec.Rules, text)
 				}
 			}
 			if cost > set.CostBound() {
@@ -179,15 +182,15 @@
 			highestRatio = max(highestRatio, float64(cost)/float64(set.CostBound()))
 		}
 	})
-	t.Logf("%d files compiled, %d rejected; %d messages evaluated, %d of them invalid; highest cost by bound: %.2f", compiled, rejected, evaluated, failed, highestRatio)
+	t.Logf("%d files compiled, %d rejected; %d messages evaluated, %d of them invalid; highest ratio of cost to bound: %.2f", compiled, rejected, evaluated, failed, highestRatio)
 	if evaluated == 0 {
-		t.Error("got no message evaluated, want some")
+		t.Error("no message was evaluated, want some")
 	}
 }
 
-// Without this package the library counts more than it estimates for a call with an argument that has failed, and for an index into
-// an expression that is no name.
-func TestCostBoundWhereLibraryDiffers(t *testing.T) {
+// The library's own cost functions count more than they estimate for a call with an argument whose evaluation failed, and
+// for an index into an expression that is not a variable. The functions of this package must not.
+func TestEvaluateFailedArgumentOrIndexStaysWithinCostBound(t *testing.T) {
 	fields := []FieldSpec{{Name: "s", Type: "string"}, {Name: "ss", Type: "list(string)"}}
 	for _, when := range []string{
 		`msg.id.contains([""][7])`, `body.s.startsWith([""][7])`, `body.s == [""][7]`, `"" < [""][7]`, `("" + [""][7]) == ""`,
@@ -203,15 +206,15 @@
 		}
 		_, err = set.Evaluate(Input{ID: strings.Repeat("i", maxKeyBytes), Class: "notice", Body: []byte(`{"s":"","ss":[]}`)})
 		if err != nil && strings.Contains(err.Error(), "limit") {
-			t.Errorf("%s: got stopped at the bound of %d: %v, want within it", when, set.CostBound(), err)
+			t.Errorf("%s: evaluation stopped at the cost bound of %d: %v, want it within the bound", when, set.CostBound(), err)
 		}
 	}
 }
 
-func TestPatternStates(t *testing.T) {
+func TestPatternStatesCountsRepetitionsAndReturnsZeroIfInvalid(t *testing.T) {
 	for pattern, limit := range map[string]uint64{"x": 5, "a{100}": 110, "(a{30}){30}": 1000, "(": 0} {
 		if n := patternStates(pattern); n > limit || n == 0 && limit > 0 {
-			t.Errorf("%q: got %d states, want at most %d, and none only if it is invalid", pattern, n, limit)
+			t.Errorf("%q: got %d states, want at most %d, and 0 only if the pattern is invalid", pattern, n, limit)
 		}
 	}
 	if n := patternStates("(a{30}){30}"); n < 900 {
@@ -219,7 +222,7 @@
 	}
 }
 
-// Two keys are equal only if the tags and all parts are.
+// Two keys are equal only if their tags and all their parts are equal.
 func TestKeysAreInjective(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		draw := func(name string) (string, []string) {
@@ -234,12 +237,12 @@
 			t.Fatalf("%q and %q: got keys %q and %q, want them equal: %t", a, b, one, other, same)
 		}
 		if !validKey(one) || !strings.HasPrefix(one, computedKeyPrefix) {
-			t.Fatalf("got key %q, want a valid one with the prefix of computed keys", one)
+			t.Fatalf("got key %q, want a valid key with the prefix of computed keys", one)
 		}
 	})
 }
 
-// Reading any body terminates within the cost bound, and its values have the declared types.
+// Evaluating any body terminates within the cost bound. An error names its place, and an accepted body is valid JSON.
 func FuzzBody(f *testing.F) {
 	set, err := Compile(validSpec(), classes)
 	if err != nil {
@@ -266,7 +269,7 @@
 			At    *int64
 		}
 		if err := json.Unmarshal(text, &plain); err != nil && !strings.Contains(err.Error(), "cannot unmarshal") {
-			t.Fatalf("got a body accepted that is no JSON: %v", err)
+			t.Fatalf("a body that is not valid JSON was accepted: %v", err)
 		}
 	})
 }
--- a/decide/rules/decode.go
+++ b/decide/rules/decode.go
@@ -12,10 +12,10 @@
 	"unicode/utf8"
 )
 
-// maxDepth is how deep a body may be nested.
+// maxDepth is the maximum nesting depth of a body.
 const maxDepth = 32
 
-// read returns the values of all declared fields, by the names that expressions use, and the cost of reading.
+// read returns the values of all declared fields, by variable name, and the cost of reading the body.
 func (b *body) read(text []byte) (map[string]any, uint64, *InvalidMessageError) {
 	if len(text) > b.maxBytes {
 		return nil, 0, invalidBody(fmt.Sprintf("%d bytes, more than the %d that are declared", len(text), b.maxBytes))
@@ -45,12 +45,12 @@
 	return reader.values, cost, nil
 }
 
-func invalidBody(why string) *InvalidMessageError {
-	return &InvalidMessageError{Place: "body", Why: why}
+func invalidBody(reason string) *InvalidMessageError {
+	return &InvalidMessageError{Place: "body", Reason: reason}
 }
 
-func invalidMember(name, why string) *InvalidMessageError {
-	return &InvalidMessageError{Place: bodyVariable(name), Why: why}
+func invalidMember(name, reason string) *InvalidMessageError {
+	return &InvalidMessageError{Place: bodyVariable(name), Reason: reason}
 }
 
 // bodyReader reads the declared fields of one body.
@@ -58,10 +58,10 @@
 	body    *body
 	decoder *json.Decoder
 	values  map[string]any  // by variable
-	seen    map[string]bool // declared fields, and objects around them, by name
+	seen    map[string]bool // names of the declared fields, and of the objects that contain them, found so far
 }
 
-// readBody reads one JSON object and nothing after it.
+// readBody reads one JSON object. It returns an error if anything follows the object.
 func (r *bodyReader) readBody() error {
 	token, err := r.decoder.Token()
 	if err != nil {
@@ -79,7 +79,8 @@
 	return nil
 }
 
-// addDefaults adds the defaults of the fields that were not in the body.
+// addDefaults sets each field that is missing or null in the body to its default. It returns an error if a required
+// field is missing.
 func (r *bodyReader) addDefaults() *InvalidMessageError {
 	for _, f := range r.body.fields {
 		if _, exists := r.values[f.variable]; exists {
@@ -93,7 +94,7 @@
 	return nil
 }
 
-// readObject reads the members and the end of an object. Its name is "" for the body itself.
+// readObject reads the members and the closing brace of an object. objectName is "" for the body itself.
 func (r *bodyReader) readObject(objectName string, depth int) error {
 	for r.decoder.More() {
 		token, err := r.decoder.Token()
@@ -112,7 +113,7 @@
 	return err
 }
 
-// readMember reads the value of a member: a declared field, an object around declared fields, or a value to skip.
+// readMember reads the value of a member: a declared field, an object that contains declared fields, or a value to skip.
 func (r *bodyReader) readMember(name string, depth int) error {
 	f := r.body.field(name)
 	if f == nil && !r.body.objects[name] {
@@ -135,7 +136,7 @@
 	return nil
 }
 
-// readNested reads an object in another one. null is an object without members.
+// readNested reads an object inside another one. null is treated as an object without members.
 func (r *bodyReader) readNested(name string, depth int) error {
 	token, err := r.decoder.Token()
 	if err != nil {
@@ -152,7 +153,7 @@
 	return r.readObject(name, depth+1)
 }
 
-// skipValue reads over a value that is not declared.
+// skipValue skips a value that is not declared.
 func (r *bodyReader) skipValue(depth int) error {
 	for open := 0; ; {
 		token, err := r.decoder.Token()
@@ -180,7 +181,7 @@
 		return nil, err
 	}
 	if !f.list {
-		return f.scalar(token)
+		return f.convertScalar(token)
 	}
 	if token != json.Delim('[') {
 		return nil, f.invalid("it is no list")
@@ -196,7 +197,7 @@
 	return decodeItems[bool](f, decoder)
 }
 
-// decodeItems reads the items and the end of a list. T is the Go type of the field's scalar type.
+// decodeItems reads the items and the closing bracket of a list. T is the Go type of the field's scalar type.
 func decodeItems[T any](f *field, decoder *json.Decoder) (any, error) {
 	items := []T{}
 	for decoder.More() {
@@ -207,7 +208,7 @@
 		if len(items) == f.maxItems {
 			return nil, f.invalid(fmt.Sprintf("more than %d items", f.maxItems))
 		}
-		value, err := f.scalar(token)
+		value, err := f.convertScalar(token)
 		if err != nil {
 			return nil, err
 		}
@@ -217,8 +218,8 @@
 	return items, err
 }
 
-// scalar converts a token to the field's scalar type.
-func (f *field) scalar(token json.Token) (any, error) {
+// convertScalar converts a token to the field's scalar type.
+func (f *field) convertScalar(token json.Token) (any, error) {
 	switch f.scalarType {
 	case "string":
 		if text, ok := token.(string); ok {
@@ -252,13 +253,13 @@
 	if n := utf8.RuneCountInString(text); n > f.maxChars {
 		return nil, f.invalid(fmt.Sprintf("%d characters, more than %d", n, f.maxChars))
 	}
-	// The decoder replaces an escape that is no character by U+FFFD, so different texts would become equal.
+	// The decoder replaces an escape that is not a valid character with U+FFFD, so different strings would become equal.
 	if strings.ContainsRune(text, utf8.RuneError) {
 		return nil, f.invalid("it holds U+FFFD")
 	}
 	return text, nil
 }
 
-func (f *field) invalid(why string) *InvalidMessageError {
-	return &InvalidMessageError{Place: f.variable, Why: why}
+func (f *field) invalid(reason string) *InvalidMessageError {
+	return &InvalidMessageError{Place: f.variable, Reason: reason}
 }
--- a/decide/rules/evaluate.go
+++ b/decide/rules/evaluate.go
@@ -6,8 +6,9 @@
 	"strings"
 )
 
-// Evaluate returns the class and the key of a message: those of the first rule whose condition is true, or the
-// client's if there is none. The error is always an [*InvalidMessageError].
+// Evaluate returns the class and the key of a message, as set by the first rule whose condition is true. It returns the
+// client's class or key if that rule does not set it, and both if no condition is true. The error is always an
+// [*InvalidMessageError].
 func (s *Set) Evaluate(in Input) (Result, error) {
 	kind := s.kinds[in.Class]
 	if kind == nil || len(kind.rules) == 0 {
@@ -15,7 +16,7 @@
 	}
 	result, err := kind.evaluate(in)
 	var invalid *InvalidMessageError
-	if errors.As(err, &invalid) && !invalid.clientKey && s.spec.OnInvalid == AcceptInvalid {
+	if errors.As(err, &invalid) && !invalid.reservedKey && s.spec.OnInvalid == AcceptInvalid {
 		result = unchanged(in)
 		result.Cost, result.Invalid = invalid.Cost, invalid
 		return result, nil
@@ -23,16 +24,16 @@
 	return result, err
 }
 
-// unchanged is the result of a message that keeps the class and the key of its client.
+// unchanged returns the result for a message that keeps the class and the key of its client.
 func unchanged(in Input) Result { return Result{Class: in.Class, Key: in.Key, Rule: NoRule} }
 
-// evaluate returns the result of the first rule that matches. On error the result has the cost so far and the rule
-// that failed after it matched.
+// evaluate returns the result of the first rule that matches. After an error the result contains the cost so far and, if
+// the class or the key of a matched rule failed, the index of that rule.
 func (k *messageKind) evaluate(in Input) (Result, error) {
 	e := evaluation{result: unchanged(in)}
 	if k.computesKeys && strings.HasPrefix(in.Key, computedKeyPrefix) {
 		return e.result, &InvalidMessageError{
-			Place: "Idempotency-Key", Why: "it begins with " + computedKeyPrefix + ", as computed keys do", clientKey: true,
+			Place: "Idempotency-Key", Reason: "it begins with " + computedKeyPrefix + ", as computed keys do", reservedKey: true,
 		}
 	}
 	variables, cost, invalid := k.body.read(in.Body)
@@ -76,24 +77,24 @@
 	return value == true, nil
 }
 
-// apply sets the result to the class and the key that a matched rule gives.
+// apply sets the class and the key of the result to those of a matched rule.
 func (e *evaluation) apply(r *rule) error {
 	e.result.Rule = r.index
-	if err := e.setText(r, "class", r.class, &e.result.Class); err != nil {
+	if err := e.runString(r, "class", r.class, &e.result.Class); err != nil {
 		return err
 	}
-	if err := e.setText(r, "key", r.key, &e.result.Key); err != nil {
+	if err := e.runString(r, "key", r.key, &e.result.Key); err != nil {
 		return err
 	}
 	if r.key != nil && !validKey(e.result.Key) {
-		why := fmt.Sprintf("%.60q is no key: 1 to %d printable characters without spaces", e.result.Key, maxKeyBytes)
-		return e.invalid(r, "key", why)
+		reason := fmt.Sprintf("%.60q is no key: 1 to %d printable characters without spaces", e.result.Key, maxKeyBytes)
+		return e.invalid(r, "key", reason)
 	}
 	return nil
 }
 
-// setText sets text to the value of an expression of type string; it leaves text if there is no expression.
-func (e *evaluation) setText(r *rule, setting string, p *program, text *string) error {
+// runString evaluates an expression of type string and stores its value in text. It leaves text unchanged if p is nil.
+func (e *evaluation) runString(r *rule, setting string, p *program, text *string) error {
 	if p == nil {
 		return nil
 	}
@@ -117,6 +118,6 @@
 	return value.Value(), nil
 }
 
-func (e *evaluation) invalid(r *rule, setting, why string) error {
-	return &InvalidMessageError{Place: fmt.Sprintf("rule %q, %s", r.name, setting), Why: why, Cost: e.result.Cost}
+func (e *evaluation) invalid(r *rule, setting, reason string) error {
+	return &InvalidMessageError{Place: fmt.Sprintf("rule %q, %s", r.name, setting), Reason: reason, Cost: e.result.Cost}
 }
--- a/decide/rules/examples.go
+++ b/decide/rules/examples.go
@@ -5,15 +5,15 @@
 	"fmt"
 )
 
-// defaultExampleID is the id of an example that gives none.
+// defaultExampleID is the message id of an example that does not set one.
 const defaultExampleID = "example"
 
-// checkExamples evaluates the examples of the file and reports those with another result than the expected one.
+// checkExamples evaluates the examples of the file and reports each whose result is not the expected one.
 func (c *compiler) checkExamples() {
 	for i, example := range c.set.spec.Examples {
 		place := fmt.Sprintf("example %d (%q)", i+1, example.Name)
 		if _, exists := c.set.classes[example.Class]; !exists {
-			c.report(place, "class: there is no class %q", example.Class)
+			c.report(place, "class: unknown class %q", example.Class)
 			continue
 		}
 		if example.ID == "" {
@@ -35,15 +35,15 @@
 	ruleName := c.set.RuleName(result.Rule)
 	switch {
 	case invalid != nil && !example.WantInvalid:
-		c.report(place, "it does not fit: %v", invalid)
+		c.report(place, "the message is invalid: %v", invalid)
 	case invalid != nil:
 	case example.WantInvalid:
-		c.report(place, "it fits")
+		c.report(place, "the message is valid, want it invalid")
 	case ruleName != example.WantRule:
-		c.report(place, "it is judged by rule %q, not %q", ruleName, example.WantRule)
+		c.report(place, "got rule %q, want %q", ruleName, example.WantRule)
 	case result.Class != example.WantClass:
-		c.report(place, "its class is %q, not %q", result.Class, example.WantClass)
+		c.report(place, "got class %q, want %q", result.Class, example.WantClass)
 	case example.WantKey != "" && result.Key != example.WantKey:
-		c.report(place, "its key is %q, not %q", result.Key, example.WantKey)
+		c.report(place, "got key %q, want %q", result.Key, example.WantKey)
 	}
 }
--- a/decide/rules/key.go
+++ b/decide/rules/key.go
@@ -8,17 +8,18 @@
 )
 
 const (
-	// maxKeyBytes is the longest key, in bytes.
+	// maxKeyBytes is the maximum length of a key, in bytes.
 	maxKeyBytes = 256
-	// computedKeyPrefix begins each computed key. Clients may not use it where rules compute keys.
+	// computedKeyPrefix is the prefix of every computed key. Clients must not use it for messages whose keys rules
+	// compute.
 	computedKeyPrefix = "="
-	// maxUnhashedKeyBytes is the longest computed key that is not hashed.
+	// maxUnhashedKeyBytes is the maximum length, in bytes, of a computed key that is not hashed.
 	maxUnhashedKeyBytes = 192
 )
 
-// joinKey returns the key of a tag and parts. Two keys are equal only if the tags and all parts are, short of a
-// collision of SHA-256: in the parts all bytes but letters, digits, '.', '_' and '-' are escaped, so that no part
-// contains the separator ':', nor the '#' of a hashed key.
+// joinKey returns the computed key of a tag and its parts. Unless SHA-256 collides, two keys are equal only if their
+// tags and all their parts are equal: writeEscaped ensures that no part contains the separator ':' or the '#' of a
+// hashed key.
 func joinKey(tag string, parts []string) string {
 	var key strings.Builder
 	key.WriteString(computedKeyPrefix)
@@ -35,7 +36,8 @@
 	return key.String()[:tagEnd] + "#" + hex.EncodeToString(hash[:])
 }
 
-// writeEscaped writes s with all bytes but letters, digits, '.', '_' and '-' as '%' and two hexadecimal digits.
+// writeEscaped writes s. Every byte other than a letter, a digit, '.', '_' and '-' is written as '%' and two hexadecimal
+// digits.
 func writeEscaped(b *strings.Builder, s string) {
 	const digits = "0123456789ABCDEF"
 	for i := range len(s) {
@@ -51,7 +53,7 @@
 	}
 }
 
-// formatKeyPart returns a value as a part of a key; it reports false for types that may not be parts.
+// formatKeyPart converts a value to a part of a key. It returns false if a part can't have the value's type.
 func formatKeyPart(v any) (string, bool) {
 	switch v := v.(type) {
 	case string:
@@ -64,7 +66,7 @@
 	return "", false
 }
 
-// validKey reports whether a key fits a header and a line of a batch.
+// validKey reports whether a key can be sent in a header and in a line of a batch.
 func validKey(key string) bool {
 	unprintable := func(c rune) bool { return c <= ' ' || c > '~' }
 	return key != "" && len(key) <= maxKeyBytes && strings.IndexFunc(key, unprintable) < 0
--- a/decide/rules/language.go
+++ b/decide/rules/language.go
@@ -10,11 +10,11 @@
 )
 
 const (
-	// maxRecursion is how deep an expression may be nested.
+	// maxRecursion is the maximum nesting depth of an expression.
 	maxRecursion = 64
 	// keyFunction is the name of the function that computes a key from a literal tag and parts.
 	keyFunction = "key"
-	// maxKeyParts is the highest number of parts of a key.
+	// maxKeyParts is the maximum number of parts of a key.
 	maxKeyParts = 6
 )
 
@@ -26,7 +26,7 @@
 	leftOverload  = "rules_left"
 )
 
-// keyOverloads are the overloads of the function key, for one part and more.
+// keyOverloads contains the overloads of the function key, for 1 to maxKeyParts parts.
 var keyOverloads = func() []string {
 	ids := make([]string, maxKeyParts)
 	for i := range ids {
@@ -35,13 +35,13 @@
 	return ids
 }()
 
-// variableTypes are the variables of each message beside the fields of its body.
+// variableTypes contains the types of the variables that every message has in addition to its body's fields.
 var variableTypes = map[string]*cel.Type{
 	"msg.id": cel.StringType, "msg.key": cel.StringType, "msg.class": cel.StringType,
 	"msg.dest": cel.IntType, "msg.size": cel.IntType,
 }
 
-// newEnvironment returns the CEL environment of the expressions about one kind of message.
+// newEnvironment returns the CEL environment for expressions about one kind of message.
 func newEnvironment(b *body) (*cel.Env, error) {
 	options := []cel.EnvOption{
 		cel.StdLib(),
@@ -64,15 +64,15 @@
 	return cel.NewCustomEnv(options...)
 }
 
-// stringFunction returns a member function from a string to a string.
+// stringFunction declares a member function that takes and returns a string.
 func stringFunction(name, overload string, f func(string) string) cel.EnvOption {
 	call := func(v ref.Val) ref.Val { return types.String(f(string(v.(types.String)))) }
 	return cel.Function(name,
 		cel.MemberOverload(overload, []*cel.Type{cel.StringType}, cel.StringType, cel.UnaryBinding(call)))
 }
 
-// mapASCIILetters returns a function that replaces the 26 letters from one on by those from another on. It changes
-// only ASCII, so that no string grows.
+// mapASCIILetters returns a function that replaces the 26 letters starting at from with the 26 letters starting at to.
+// Only ASCII letters change, so a string never becomes longer.
 func mapASCIILetters(from, to byte) func(string) string {
 	return func(s string) string {
 		b := []byte(s)
@@ -120,7 +120,7 @@
 	for _, arg := range args[1:] {
 		part, ok := formatKeyPart(arg.Value())
 		if !ok {
-			return types.NewErr("key: a part is no string, int or bool")
+			return types.NewErr("key: each part must be a string, int or bool")
 		}
 		parts = append(parts, part)
 	}
--- a/decide/rules/rules.go
+++ b/decide/rules/rules.go
@@ -1,11 +1,11 @@
 // Package rules computes the class and the key of a message by rules that operators write. It does
 // no I/O and reads no clock.
 //
-// A [Set] that compiled has these properties:
-//   - typed: no rule reads a field as another type than the declared one;
-//   - bounded: evaluating a message costs no more than [Set.CostBound], which is known before any message arrives;
-//   - its classes exist, and a rule gives a weaker guarantee than the client asked for only if it is marked relaxes;
-//   - two messages of a deduplicated class get the same computed key only if they agree in all fields of an identity.
+// A compiled [Set] has these properties:
+//   - typed: every rule reads a field as its declared type;
+//   - bounded: evaluating a message costs at most [Set.CostBound], which is known before any message arrives;
+//   - all classes of its rules exist, and only a rule marked relaxes gives a weaker guarantee than the client's class;
+//   - two messages of a deduplicated class get the same computed key only if all fields of an identity are equal.
 //
 // A Set is immutable and safe for concurrent use.
 //
@@ -24,18 +24,18 @@
 	"github.com/google/cel-go/cel"
 )
 
-// Class is the part of a class's settings that rules depend on.
+// Class contains the settings of a class that rules depend on.
 type Class struct {
 	Name         string
 	Repeat       policy.Repeat
 	Ordered      bool
-	KeyRetention time.Duration // how long a key still counts after its message has completed
+	KeyRetention time.Duration // how long a key stays in use after its message has completed
 }
 
 // GuaranteesKeys reports whether the class guarantees anything about messages with the same key.
 func (c Class) GuaranteesKeys() bool { return c.Ordered || c.Repeat == policy.Deduplicated }
 
-// Input is one message, as its client sent it.
+// Input is a message as received from its client.
 type Input struct {
 	ID, Key, Class string // Key is empty if the client gave none
 	Dest           int
@@ -50,28 +50,28 @@
 	Class, Key string
 	Rule       int                  // index of the matched rule in the file, or NoRule
 	Cost       uint64               // cost units that the evaluation used
-	Invalid    *InvalidMessageError // with [AcceptInvalid]: why the message kept its class and key; nil otherwise
+	Invalid    *InvalidMessageError // why the message kept its class and key with [AcceptInvalid]; nil otherwise
 }
 
-// InvalidMessageError reports a message that can't be evaluated: its body does not match the declaration, or a rule
-// gave no usable result.
+// InvalidMessageError reports a message that can't be evaluated: its body does not match the declaration, its client's
+// key has the form of a computed key, or a rule failed or returned an invalid key.
 type InvalidMessageError struct {
-	Place string // in the body or in the rules
-	Why   string
-	Cost  uint64 // cost units used up to the error
-	// clientKey marks a client key that looks like a computed one. Such a message is rejected even with
+	Place  string // in the body or in the rules, or Idempotency-Key
+	Reason string
+	Cost   uint64 // cost units used up to the error
+	// reservedKey means that the client's key has the form of a computed key. Such a message is rejected even with
 	// AcceptInvalid, since its key could collide with a computed key.
-	clientKey bool
+	reservedKey bool
 }
 
-func (e *InvalidMessageError) Error() string { return e.Place + ": " + e.Why }
+func (e *InvalidMessageError) Error() string { return e.Place + ": " + e.Reason }
 
 // Set is a compiled rule file. It is safe for concurrent use.
 type Set struct {
 	spec      Spec
 	classes   map[string]Class
 	kinds     map[string]*messageKind // by class
-	costBound uint64                  // the highest of all kinds
+	costBound uint64                  // the highest cost bound of all kinds
 }
 
 // messageKind is one kind of message with its rules.
@@ -79,8 +79,8 @@
 	class        string
 	body         *body
 	rules        []rule
-	costBound    uint64 // of evaluating one message, reading the body included
-	computesKeys bool   // a rule computes keys: clients may not use keys of that form
+	costBound    uint64 // of evaluating one message, including reading its body
+	computesKeys bool   // a rule computes keys, so clients must not use keys with computedKeyPrefix
 }
 
 // rule is a rule compiled for one kind of message.
@@ -128,11 +128,12 @@
 
 // CostItem is one row of a cost breakdown.
 type CostItem struct {
-	Class, What string
+	Class, Name string
 	Bound       uint64 // cost units
 }
 
-// CostBreakdown returns the parts of each kind's cost bound and their total, in the order of the file.
+// CostBreakdown returns the cost bounds of the parts of each kind's evaluation, and then of the whole evaluation, in the
+// order of the file.
 func (s *Set) CostBreakdown() []CostItem {
 	var items []CostItem
 	for _, m := range s.spec.Messages {
@@ -146,12 +147,12 @@
 				items = append(items, CostItem{m.Class, fmt.Sprintf("rule %q, %s", r.name, p.setting), p.costBound})
 			}
 		}
-		items = append(items, CostItem{m.Class, "in all", kind.costBound})
+		items = append(items, CostItem{m.Class, "in all", kind.costBound}) // the highest cost, not the sum of the parts
 	}
 	return items
 }
 
-// ChangedClasses returns the kinds of message, by class, for which two sets may give different results.
+// ChangedClasses returns the classes of the kinds of message for which s and other may give different results.
 func (s *Set) ChangedClasses(other *Set) []string {
 	var changed []string
 	for _, m := range slices.Concat(s.spec.Messages, other.spec.Messages) {
@@ -162,14 +163,14 @@
 	return changed
 }
 
-// kindSpec is the part of a file that decides the results of one kind of message.
+// kindSpec is the part of a file that determines the results for one kind of message.
 type kindSpec struct {
 	message   []MessageSpec
 	rules     []RuleSpec
 	onInvalid string
 }
 
-// kindSpec returns the part of the file about a kind of message; it is zero if no rule is for that kind.
+// kindSpec returns the part of the file about a kind of message. It is zero if no rule applies to that kind.
 func (s *Set) kindSpec(class string) kindSpec {
 	var k kindSpec
 	for _, r := range s.spec.Rules {
@@ -189,7 +190,7 @@
 	return k
 }
 
-// PossibleClasses returns the classes that a message may have after evaluation, its client's class first.
+// PossibleClasses returns the classes that a message of a client's class may have after evaluation, that class first.
 func (s *Set) PossibleClasses(class string) []string {
 	possible := []string{class}
 	kind := s.kinds[class]
@@ -206,7 +207,7 @@
 	return possible
 }
 
-// CompileErrors are all errors of a rule file, each with its place.
+// CompileErrors contains the errors of a rule file, each prefixed with its place.
 type CompileErrors []error
 
 func (e CompileErrors) Error() string {
--- a/decide/rules/rules_test.go
+++ b/decide/rules/rules_test.go
@@ -9,7 +9,7 @@
 	"wingmount/policy"
 )
 
-// classes of the tests, one of each guarantee.
+// classes are the classes of the tests, one for each guarantee.
 var classes = []Class{
 	{Name: "meter", Repeat: policy.Deduplicated, KeyRetention: 12 * time.Second},
 	{Name: "line", Repeat: policy.Idempotent, Ordered: true},
@@ -17,7 +17,7 @@
 	{Name: "payment", Repeat: policy.AtMostOnce},
 }
 
-// validSpec returns a valid file; tests change it.
+// validSpec returns a valid rule file, which tests modify.
 func validSpec() Spec {
 	fields := []FieldSpec{
 		{Name: "meter", Type: "string", Max: 32},
@@ -46,7 +46,9 @@
 	return set
 }
 
-func TestEvaluate(t *testing.T) {
+// A message gets the class and key of the first rule that matches it. An invalid message gets an error with its place.
+// The cost stays within the bound in both cases.
+func TestEvaluateAppliesFirstMatchingRuleOrReportsInvalidMessage(t *testing.T) {
 	set := compile(t, validSpec())
 	for _, c := range []struct {
 		class, body, wantRule, wantClass, wantKey, wantErr string
@@ -78,7 +80,7 @@
 		{"meter", "{\"meter\":\"\xff\",\"at\":7}", "", "", "", "body: it is not UTF-8"},
 		{"meter", `{"x":` + strings.Repeat("[", 40) + strings.Repeat("]", 40) + `}`, "", "", "", "body: it is nested too deep"},
 		{"meter", strings.Repeat(" ", 4097), "", "", "", "body: 4097 bytes"},
-		{"payment", "any bytes", "", "payment", "own", ""}, // no rule is for it
+		{"payment", "any bytes", "", "payment", "own", ""}, // no rule applies to this class
 		{"notice", "any bytes", "", "notice", "own", ""},
 	} {
 		t.Run(fmt.Sprintf("%s %.60s", c.class, c.body), func(t *testing.T) {
@@ -102,8 +104,9 @@
 	}
 }
 
-// An invalid message may be accepted unchanged; a client's key in the form of computed ones never is.
-func TestAcceptInvalid(t *testing.T) {
+// AcceptInvalid keeps the class and key of an invalid message, except if the client's key has the form of a computed key:
+// it could collide with one.
+func TestAcceptInvalidKeepsClientValuesButRejectsReservedKey(t *testing.T) {
 	s := validSpec()
 	s.OnInvalid = AcceptInvalid
 	set := compile(t, s)
@@ -113,101 +116,101 @@
 	}
 	got, err = set.Evaluate(Input{ID: "id", Key: "=reading:HS-1:7", Class: "meter", Body: []byte("{}")})
 	if err == nil {
-		t.Errorf("got %+v for a client's key in the form of computed ones, want an error", got)
+		t.Errorf("got %+v for a client's key in the form of a computed key, want an error", got)
 	}
 }
 
-// Invalid files are rejected at load, with the place of the error.
-func TestCompileErrors(t *testing.T) {
+// Compile rejects an invalid file and reports the place of the error.
+func TestCompileInvalidFileReportsPlaceOfError(t *testing.T) {
 	when := func(x string) func(*Spec) { return func(s *Spec) { s.Rules[0].When = x } }
 	key := func(x string) func(*Spec) { return func(s *Spec) { s.Rules[1].Key = x } }
 	field := func(f FieldSpec) func(*Spec) {
 		return func(s *Spec) { s.Messages[0].Fields = append(s.Messages[0].Fields, f) }
 	}
-	many := strings.Repeat(`body.tags.all(x, `, 6) + "true" + strings.Repeat(")", 6)
+	nestedLoops := strings.Repeat(`body.tags.all(x, `, 6) + "true" + strings.Repeat(")", 6)
 	for _, c := range []struct {
 		change func(*Spec)
 		want   string
 	}{
 		// Types.
 		{when(`body.meter == 3`), `rule 1 ("urgent"), when, line 1, column 12: found no matching overload`},
-		{when(`body.meter`), `rule 1 ("urgent"), when: it is string, not bool`},
+		{when(`body.meter`), `rule 1 ("urgent"), when: got type string, want bool`},
 		{when(`body.nothing`), `rule 1 ("urgent"), when, line 1, column 1: undeclared reference`},
 		{when("true &&\n  7"), `rule 1 ("urgent"), when, line 2, column 3: `},
-		{key(`body.at`), `rule 2 ("by reading"), key: it is int, not string`},
-		{func(s *Spec) { s.Rules[0].Class = `7` }, `rule 1 ("urgent"), class: it is int`},
-		// Loops and growth, and costs without a bound.
-		{when(many), `message "meter": its rules may cost `},
-		{when(`body.tags.exists(t, t.matches("(a{30}){30}"))`), `message "meter": its rules may cost `},
-		{when(`[body.meter].map(x, [x+x].map(y, y)).size() == dyn(1)`), "is not used in rules (to_dyn)"},
+		{key(`body.at`), `rule 2 ("by reading"), key: got type int, want string`},
+		{func(s *Spec) { s.Rules[0].Class = `7` }, `rule 1 ("urgent"), class: got type int`},
+		// Loops, growing values and unbounded costs.
+		{when(nestedLoops), `message "meter": evaluating its rules may cost `},
+		{when(`body.tags.exists(t, t.matches("(a{30}){30}"))`), `message "meter": evaluating its rules may cost `},
+		{when(`[body.meter].map(x, [x+x].map(y, y)).size() == dyn(1)`), "is not allowed in rules (to_dyn)"},
 		{when(strings.Repeat("(", 80) + "true" + strings.Repeat(")", 80)), "recursion"},
 		{when("true" + strings.Repeat(" && true", 1000)), "size"},
-		{when(`body.tags == ["a"]`), "lists are not compared"},
-		{when(`{"a": 1}.size() == 1`), "maps are not used in rules"},
+		{when(`body.tags == ["a"]`), "lists can't be compared"},
+		{when(`{"a": 1}.size() == 1`), "maps are not allowed in rules"},
 		{when(`body.meter.matches(body.meter)`), "the pattern of matches must be a literal string"},
-		{when(`body.meter.matches("(")`), `"(" is no pattern`},
-		{when(`timestamp(body.at) < timestamp(0)`), "timestamp is not used in rules"},
-		{when(`b"a".size() == 1`), "a literal is no string, int, double or bool"},
-		{when(`size(bytes(body.meter)) == 1`), "bytes is not used in rules"},
-		// Keys that two different messages may share.
+		{when(`body.meter.matches("(")`), `"(" is not a valid pattern`},
+		{when(`timestamp(body.at) < timestamp(0)`), "timestamp is not allowed in rules"},
+		{when(`b"a".size() == 1`), "a literal must be a string, int, double or bool"},
+		{when(`size(bytes(body.meter)) == 1`), "bytes is not allowed in rules"},
+		// Keys that may be the same for two different messages.
 		{key(`body.meter`), `rule 2 ("by reading"), key: the key must be msg.key, msg.id or key(`},
 		{key(`body.meter + ":" + string(body.at)`), "the key must be msg.key"},
-		{key(`key("reading", body.meter)`), `identity "reading" is key("reading", body.meter, body.at)`},
-		{key(`key("reading", body.at, body.meter)`), `identity "reading" is`},
-		{key(`key("reading", body.meter, body.at + 1)`), `identity "reading" is`},
-		{key(`key("other", body.meter, body.at)`), `"other" is no identity`},
+		{key(`key("reading", body.meter)`), `the key of identity "reading" must be key("reading", body.meter, body.at)`},
+		{key(`key("reading", body.at, body.meter)`), `the key of identity "reading" must be`},
+		{key(`key("reading", body.meter, body.at + 1)`), `the key of identity "reading" must be`},
+		{key(`key("other", body.meter, body.at)`), `message "meter" has no identity "other"`},
 		{key(`body.at > 5 ? key("reading", body.meter, body.at) : "x"`), "the key must be msg.key"},
-		{key(`key(body.meter, body.at)`), "the first part of key must be a literal word"},
+		{key(`key(body.meter, body.at)`), "the first argument of key must be a literal word"},
 		{key(`key("reading", body.meter, body.value)`), "a part of key must be a string, an int or a bool"},
-		{func(s *Spec) { s.Messages[0].Identities[0].Fields = []string{"value"} }, `"value" is no string, int or bool`},
+		{func(s *Spec) { s.Messages[0].Identities[0].Fields = []string{"value"} }, `field "value" must be a string, int or bool`},
 		{func(s *Spec) { s.Messages[0].Identities[0].Fields = []string{"customer.urgent"} }, "has a default"},
-		{func(s *Spec) { s.Messages[1].Identities = s.Messages[0].Identities }, `message "meter" has one of this name`},
+		{func(s *Spec) { s.Messages[1].Identities = s.Messages[0].Identities }, `already declared for message "meter"`},
 		// Classes.
-		{func(s *Spec) { s.Rules[0].Class = `body.meter` }, "it must be a literal string"},
-		{func(s *Spec) { s.Rules[0].Class = `body.at > 5 ? "payment" : "nothing"` }, `there is no class "nothing"`},
-		{func(s *Spec) { s.Rules[2].Relaxes = false }, `a repeat of a message of "meter" does more harm than "line" allows for`},
-		{func(s *Spec) { s.Rules[0].Relaxes = true }, "nothing is relaxed"},
+		{func(s *Spec) { s.Rules[0].Class = `body.meter` }, "class: must be a literal string"},
+		{func(s *Spec) { s.Rules[0].Class = `body.at > 5 ? "payment" : "nothing"` }, `unknown class "nothing"`},
+		{func(s *Spec) { s.Rules[2].Relaxes = false }, `"line" allows repeats that may be harmful in "meter"`},
+		{func(s *Spec) { s.Rules[0].Relaxes = true }, "no class of the rule gives a weaker guarantee"},
 		{func(s *Spec) {
 			s.Rules[0] = RuleSpec{Name: "x", For: []string{"payment"}, Class: `"meter"`, Relaxes: true}
-		}, `key: it is missing: "meter" is a keyed class`},
+		}, `key: must be set: "meter" is a keyed class`},
 		{func(s *Spec) {
 			s.Rules[0] = RuleSpec{Name: "x", For: []string{"payment"}, Class: `"meter"`, Key: "msg.key", Relaxes: true}
-		}, "clients need not give a key"},
+		}, "msg.key may be empty"},
 		// The file.
-		{field(FieldSpec{Name: "meter", Type: "int"}), `field "meter": there are two`},
-		{field(FieldSpec{Name: "meter.x", Type: "int"}), `field "meter.x": "meter" is a field itself`},
+		{field(FieldSpec{Name: "meter", Type: "int"}), `field "meter": duplicate name`},
+		{field(FieldSpec{Name: "meter.x", Type: "int"}), `field "meter.x": "meter" is also declared as a field`},
 		{field(FieldSpec{Name: "a b", Type: "int"}), `field "a b": name`},
-		{field(FieldSpec{Name: "in", Type: "int"}), `field "in": name: a word in it is reserved`},
-		{field(FieldSpec{Name: "x", Type: "list(list(int))"}), `type "list(list(int))" is none of`},
+		{field(FieldSpec{Name: "in", Type: "int"}), `field "in": name: contains a reserved word`},
+		{field(FieldSpec{Name: "x", Type: "list(list(int))"}), `unknown type "list(list(int))", want`},
 		{field(FieldSpec{Name: "x", Type: "string", Max: MaxStringChars + 1}), "max: 4097 is not between 1 and 4096"},
 		{field(FieldSpec{Name: "x", Type: "list(int)", Max: MaxListItems + 1}), "max: 1025 is not between"},
-		{field(FieldSpec{Name: "x", Type: "int", Max: 3}), "only strings and lists have a size"},
-		{field(FieldSpec{Name: "x", Type: "string", MaxItem: 3}), "max_item is for lists"},
+		{field(FieldSpec{Name: "x", Type: "int", Max: 3}), "max is only allowed for strings and lists"},
+		{field(FieldSpec{Name: "x", Type: "string", MaxItem: 3}), "max_item is only allowed for lists"},
 		{field(FieldSpec{Name: "x", Type: "int", Default: "7"}), "default: body.x: it is no int"},
 		{field(FieldSpec{Name: "x", Type: "string", Max: 2, Default: "abc"}), "default: body.x: 3 characters"},
 		{func(s *Spec) { s.Messages[0].MaxBody = MaxBodyBytes + 1 }, "max_body: 65537 is not between"},
-		{func(s *Spec) { s.Messages[0].Class = "nothing" }, "class: there is none of this name"},
-		{func(s *Spec) { s.Messages[1].Class = "meter" }, "class: there are two"},
-		{func(s *Spec) { s.Rules[1].Name = "urgent" }, "name: there are two"},
+		{func(s *Spec) { s.Messages[0].Class = "nothing" }, `class: unknown class "nothing"`},
+		{func(s *Spec) { s.Messages[1].Class = "meter" }, "class: duplicate declaration"},
+		{func(s *Spec) { s.Rules[1].Name = "urgent" }, "name: duplicate rule name"},
 		{func(s *Spec) { s.Rules[0].For = []string{"notice"} }, `for: no message "notice" is declared`},
-		{func(s *Spec) { s.Rules[0].For = nil }, "for: it is missing"},
-		{func(s *Spec) { s.Rules[0].Class = "" }, "it gives neither a class nor a key"},
+		{func(s *Spec) { s.Rules[0].For = nil }, "for: must not be empty"},
+		{func(s *Spec) { s.Rules[0].Class = "" }, "class or key must be set"},
 		{func(s *Spec) { s.OnInvalid = "drop" }, "misfit: "},
 		{func(s *Spec) { s.MaxCost = MaxCostLimit + 1 }, "max_cost: "},
-		{func(s *Spec) { s.Rules = make([]RuleSpec, MaxRules+1) }, "rule: there are 257, more than 256"},
-		{func(s *Spec) { s.Messages[0].Fields = make([]FieldSpec, MaxFields+1) }, "field: there are 65, more than 64"},
+		{func(s *Spec) { s.Rules = make([]RuleSpec, MaxRules+1) }, "rule: got 257, want at most 256"},
+		{func(s *Spec) { s.Messages[0].Fields = make([]FieldSpec, MaxFields+1) }, "field: got 65, want at most 64"},
 		// Examples.
 		{
 			func(s *Spec) {
 				s.Examples = []ExampleSpec{{Name: "e", Class: "meter", Key: "k", Body: `{"meter":"HS-1","at":7}`}}
 			},
-			`example 1 ("e"): it is judged by rule "by reading", not ""`,
+			`example 1 ("e"): got rule "by reading", want ""`,
 		},
 		{func(s *Spec) {
 			s.Examples = []ExampleSpec{{Name: "e", Class: "meter", Body: `{"meter":"HS-1","at":7}`, WantRule: "by reading", WantKey: "k"}}
-		}, `its key is "=reading:HS-1:7", not "k"`},
-		{func(s *Spec) { s.Examples = []ExampleSpec{{Name: "e", Class: "meter", Body: `{}`}} }, `it does not fit: body.meter: it is missing`},
-		{func(s *Spec) { s.Examples = []ExampleSpec{{Name: "e", Class: "notice", WantInvalid: true}} }, `it fits`},
+		}, `got key "=reading:HS-1:7", want "k"`},
+		{func(s *Spec) { s.Examples = []ExampleSpec{{Name: "e", Class: "meter", Body: `{}`}} }, `the message is invalid: body.meter: it is missing`},
+		{func(s *Spec) { s.Examples = []ExampleSpec{{Name: "e", Class: "notice", WantInvalid: true}} }, `the message is valid, want it invalid`},
 	} {
 		t.Run(c.want, func(t *testing.T) {
 			s := validSpec()
@@ -219,17 +222,17 @@
 	}
 }
 
-// The bound is the cost of the most expensive evaluation, not the sum: only one rule gives a result.
+// The bound is the cost of the most expensive evaluation, not the sum over all rules: only one rule gives a result.
 func TestCostBoundIsHighestCost(t *testing.T) {
 	set := compile(t, validSpec())
 	var conditions, highestResult, body, total uint64
 	for _, item := range set.CostBreakdown() {
 		switch {
-		case strings.HasSuffix(item.What, "when"):
+		case strings.HasSuffix(item.Name, "when"):
 			conditions += item.Bound
-		case strings.HasPrefix(item.What, "rule"):
+		case strings.HasPrefix(item.Name, "rule"):
 			highestResult = max(highestResult, item.Bound)
-		case item.What == "in all":
+		case item.Name == "in all":
 			total = item.Bound
 		default:
 			body = item.Bound
@@ -262,8 +265,9 @@
 	}
 }
 
-// Two sets differ in exactly the kinds of message for which they may give different results.
-func TestChangedClasses(t *testing.T) {
+// ChangedClasses returns exactly the kinds of message for which two sets may give different results. A missing kind would
+// break key guarantees during a change of rules, and an additional one would make messages wait.
+func TestChangedClassesReturnsKindsWithDifferentResults(t *testing.T) {
 	base := compile(t, validSpec())
 	for _, c := range []struct {
 		name   string
--- a/decide/rules/spec.go
+++ b/decide/rules/spec.go
@@ -1,6 +1,6 @@
 package rules
 
-// Limits of a rule file. Compile rejects a file that is over any of them.
+// Limits of a rule file. Compile rejects a file that exceeds any of them.
 const (
 	MaxMessageKinds    = 64       // [[message]] tables in a file
 	MaxFields          = 64       // fields of a kind of message
@@ -16,13 +16,13 @@
 	MaxCostLimit = 1_000_000
 )
 
-// Values of [Spec.OnInvalid]: what happens to a message whose body does not match its declaration.
+// Values of [Spec.OnInvalid]: the treatment of a message that can't be evaluated, see [InvalidMessageError].
 const (
 	RejectInvalid = "refuse" // the message is rejected before it is accepted
 	AcceptInvalid = "keep"   // the message is accepted with the class and key that its client gave
 )
 
-// Spec is the content of a rule file. The first rule whose condition is true decides about a message.
+// Spec is the content of a rule file. The first rule whose condition is true determines a message's class and key.
 type Spec struct {
 	MaxCost   uint64        `toml:"max_cost"` // cost units for one message; 0 means DefaultMaxCost
 	OnInvalid string        `toml:"misfit"`   // empty means RejectInvalid
@@ -45,23 +45,23 @@
 	Type    string `toml:"type"`     // string, int, double, bool, or list(one of them)
 	Max     int    `toml:"max"`      // characters of a string (0 means 64), items of a list (0 means 16)
 	MaxItem int    `toml:"max_item"` // characters of a string in a list; 0 means 64
-	Default any    `toml:"default"`  // value where the body has none; nil makes the field required
+	Default any    `toml:"default"`  // value if the field is missing or null; nil makes the field required
 }
 
-// IdentitySpec names the fields that identify a message: two messages that agree in them are the same message.
+// IdentitySpec names the fields that identify a message: messages with equal values of these fields are duplicates.
 type IdentitySpec struct {
 	Name   string   `toml:"name"`
 	Fields []string `toml:"fields"`
 }
 
-// RuleSpec is one rule.
+// RuleSpec sets the class, the key or both of messages for which a condition is true.
 type RuleSpec struct {
 	Name    string   `toml:"name"`
 	For     []string `toml:"for"`     // kinds of message, by the class that clients give
 	When    string   `toml:"when"`    // condition; empty means always
 	Class   string   `toml:"class"`   // expression of type string; empty leaves the client's class
 	Key     string   `toml:"key"`     // expression of type string; empty leaves the client's key
-	Relaxes bool     `toml:"relaxes"` // the class may guarantee less than the client's
+	Relaxes bool     `toml:"relaxes"` // the class may give weaker guarantees than the client's class
 }
 
 // ExampleSpec is a message with its expected result. Compile evaluates each example.
