--- a/decide/rollout/key.go
+++ b/decide/rollout/key.go
@@ -5,56 +5,57 @@
 	"wingmount/internal/container"
 )
 
-// KeyHash identifies the key of a message whose class makes promises about keys. The zero KeyHash is no key.
+// KeyHash identifies the key of a message whose class guarantees something about keys. 0 means that the message has no
+// such key.
 type KeyHash uint64
 
-// Kind separates keys by what is promised about them. A rollout affects some kinds, and lasts no longer than keys of
-// these are in use.
+// Kind identifies the guarantees that apply to a key. A rollout affects keys of some kinds, and ends when no key of these
+// kinds is in use by an older message.
 type Kind uint8
 
-// Kinds is the number of kinds.
-const Kinds = 8
+// KindCount is the number of kinds.
+const KindCount = 8
 
-// Claim is a message's key, and for how long the key stays in use after the message has ended. A key has one kind.
+// Claim is the use of a key by a message. All claims of one key have the same kind.
 type Claim struct {
-	KeyHash KeyHash
-	Keep    time.Duration
-	Kind    Kind // below Kinds
+	KeyHash   KeyHash
+	Retention time.Duration // how long the key stays in use after the message has completed
+	Kind      Kind          // below KindCount
 }
 
-// generation counts rule sets.
+// generation numbers rule sets in the order in which they are applied.
 type generation uint64
 
-// entry is an unfinished message.
+// entry is the ledger's record of an unfinished message.
 type entry struct {
 	Claim
 	generation generation
 }
 
-// side is one side of a rollout.
-type side int
+// age classifies messages by generation.
+type age int
 
 const (
-	oldSide side = iota // generations before the current one
-	newSide             // the current generation, and all messages while no rollout is in progress
+	olderGeneration   age = iota // generations before the current one
+	currentGeneration            // the current generation, and all messages while no rollout is in progress
 )
 
-// keyState is the use of one key.
+// keyState is the use of one key by messages.
 type keyState struct {
 	hash       KeyHash
 	kind       Kind
-	unfinished [2]int           // messages, by side
-	usedUntil  [2]time.Duration // when the last of those that have ended makes the key free, by side
+	unfinished [2]int           // unfinished messages, by age
+	usedUntil  [2]time.Duration // until when messages that were removed from the ledger keep the key in use, by age
 	expiry     container.Item[*keyState]
 }
 
-// inUse reports whether messages of one side use the key.
-func (k *keyState) inUse(of side, now time.Duration) bool {
-	return k.unfinished[of] > 0 || k.usedUntil[of] > now
+// inUse reports whether messages of an age use the key.
+func (k *keyState) inUse(a age, now time.Duration) bool {
+	return k.unfinished[a] > 0 || k.usedUntil[a] > now
 }
 
-// makePrevious counts all messages of the key as those of earlier generations.
-func (k *keyState) makePrevious() {
-	k.unfinished = [2]int{oldSide: k.unfinished[oldSide] + k.unfinished[newSide]}
-	k.usedUntil = [2]time.Duration{oldSide: max(k.usedUntil[oldSide], k.usedUntil[newSide])}
+// markAllOlder counts all messages of the key as messages of earlier generations.
+func (k *keyState) markAllOlder() {
+	k.unfinished = [2]int{olderGeneration: k.unfinished[olderGeneration] + k.unfinished[currentGeneration]}
+	k.usedUntil = [2]time.Duration{olderGeneration: max(k.usedUntil[olderGeneration], k.usedUntil[currentGeneration])}
 }
--- a/decide/rollout/ledger.go
+++ b/decide/rollout/ledger.go
@@ -1,10 +1,10 @@
-// Package rollout decides which messages have to wait while a new rule set is rolled out and messages that were
-// admitted under the previous one are unfinished. It does no I/O, reads no clock and starts no goroutines.
+// Package rollout decides which messages must wait while a new rule set is rolled out and messages that were admitted
+// under the previous one are unfinished. It does no I/O, reads no clock and starts no goroutines.
 //
-// A message whose class makes promises about keys has a [KeyHash]. During a rollout, a new message whose hash differs
-// from the one that the previous rules would have given it may only be admitted once no message of an earlier
-// generation uses that previous hash. A [Ledger] records which hashes are in use. It promises that a hash in use
-// is never reported as free, and that each hash becomes free in the end.
+// A message whose class guarantees something about keys has a [KeyHash]. During a rollout, a new message whose hash
+// differs from the one that the previous rules give it is admitted only if no message of an earlier generation uses that
+// previous hash. A [Ledger] records the hashes in use. It guarantees that a hash in use is never treated as free, and that
+// every hash eventually becomes free.
 //
 // A Ledger is not safe for concurrent use. Start reading at [Ledger.Admit].
 package rollout
@@ -19,17 +19,17 @@
 
 // The verdicts.
 const (
-	Admitted    Verdict = iota // the message may be accepted, and is in the ledger from now on
-	Duplicate                  // its id is in the ledger already: it is being accepted, or unfinished
+	Admitted    Verdict = iota // the message may be accepted, and was added to the ledger
+	Duplicate                  // its id is already in the ledger: the message is being accepted, or is unfinished
 	Conflict                   // a message of an earlier generation uses its previous hash
 	MayConflict                // such a message may exist: a hash was evicted, or belongs to an earlier process
-	Full                       // the ledger has as many messages as it may, in a rollout or not
+	Full                       // the ledger is at its limit of messages; independent of a rollout
 )
 
-// retryInterval is how long a client should wait where the ledger does not know when the message can be admitted.
+// retryInterval is how long a client should wait if the ledger can't tell when the message can be admitted.
 const retryInterval = time.Second
 
-// Ledger records the keys in use. Times are from any fixed origin, and do not go back.
+// Ledger records the keys in use. Times are offsets from a fixed origin and must not decrease.
 type Ledger struct {
 	limit      int
 	generation generation
@@ -39,27 +39,27 @@
 
 	rollout rolloutState
 
-	// recovered is until when hashes of an earlier process may be in use, by kind.
-	recovered [Kinds]time.Duration
-	// evictedUntil is until when a hash that was evicted may be in use.
+	// recovered is the time until which hashes of an earlier process may be in use, by kind.
+	recovered [KindCount]time.Duration
+	// evictedUntil is the time until which any evicted hash may be in use.
 	evictedUntil time.Duration
 }
 
-// rolloutState is what a ledger knows of the rollout in progress.
+// rolloutState is the state of the rollout in progress.
 type rolloutState struct {
 	inProgress bool
-	affected   [Kinds]bool // the kinds of keys that the rules change
-	unfinished int         // messages of earlier generations with keys of these kinds
+	affected   [KindCount]bool // kinds of keys that the rules change
+	unfinished int             // messages of earlier generations with keys of these kinds
 	// usedUntil is when the last such key without an unfinished message becomes free.
 	usedUntil time.Duration
-	// evictedUntil is until when an evicted hash of an earlier generation may be in use.
+	// evictedUntil is the time until which any evicted hash of an earlier generation may be in use.
 	evictedUntil time.Duration
 }
 
-// New returns a ledger with capacity for limit messages and as many keys; Admit returns Full at the limit, and Adopt goes
-// beyond it. Hashes of an earlier process whose
-// messages ended before time 0 may be in use until the time that recovered has for their kind.
-func New(limit int, recovered [Kinds]time.Duration) *Ledger {
+// New returns a ledger with capacity for limit messages and limit keys. At the limit Admit returns Full, while Adopt
+// exceeds it. recovered is the time until which hashes of an earlier process, whose messages completed before time 0, may
+// be in use, by kind.
+func New(limit int, recovered [KindCount]time.Duration) *Ledger {
 	return &Ledger{limit: max(1, limit), entries: map[string]entry{}, keys: map[KeyHash]*keyState{}, recovered: recovered}
 }
 
@@ -73,10 +73,10 @@
 	delete(l.keys, key.hash)
 }
 
-// key returns the state of a key, and creates it where there is none. At the limit it evicts the key without an
-// unfinished message that becomes free first; until that time any unknown hash may be in use. Keys with unfinished
-// messages always have capacity, since messages have the same limit.
-func (l *Ledger) key(hash KeyHash, kind Kind) *keyState {
+// getOrCreateKey returns the state of a key, which it creates if the key is not in the ledger. At the limit it evicts the
+// key without an unfinished message that becomes free first. Until that time, any hash that is not in the ledger may be in
+// use. There is always capacity for keys with unfinished messages, since messages have the same limit.
+func (l *Ledger) getOrCreateKey(hash KeyHash, kind Kind) *keyState {
 	if key := l.keys[hash]; key != nil {
 		return key
 	}
@@ -87,7 +87,7 @@
 		}
 		l.evictedUntil = max(l.evictedUntil, time.Duration(until))
 		if l.rollout.inProgress {
-			l.rollout.evictedUntil = max(l.rollout.evictedUntil, first.Value.usedUntil[oldSide])
+			l.rollout.evictedUntil = max(l.rollout.evictedUntil, first.Value.usedUntil[olderGeneration])
 		}
 		l.deleteKey(first.Value)
 	}
@@ -97,11 +97,11 @@
 	return key
 }
 
-// Admit decides whether a message may be accepted whose claim is current by the rules in force and previous by the
-// previous ones; outside a rollout previous is ignored. A message that is admitted stays in the ledger until
-// [Ledger.End], [Ledger.Release] or [Ledger.ReleaseUncertain].
+// Admit decides whether a message may be accepted. The active rules give it the claim current, the previous rules the
+// claim previous, which is ignored outside a rollout. An admitted message stays in the ledger until [Ledger.Complete],
+// [Ledger.Release] or [Ledger.ReleaseUncertain] is called.
 //
-// It also returns how long the client should wait at least, 0 with Admitted and Duplicate.
+// Admit also returns the minimum time that the client should wait, which is 0 with Admitted and Duplicate.
 func (l *Ledger) Admit(now time.Duration, id string, current, previous Claim) (Verdict, time.Duration) {
 	l.expire(now)
 	if _, known := l.entries[id]; known {
@@ -119,32 +119,32 @@
 	return Admitted, 0
 }
 
-// checkPrevious decides whether the hash that a message had by the previous rules is free.
+// checkPrevious decides whether the hash that the previous rules give a message is free.
 func (l *Ledger) checkPrevious(now time.Duration, previous Claim) (Verdict, time.Duration) {
-	if key := l.keys[previous.KeyHash]; key != nil && key.inUse(oldSide, now) {
-		if key.unfinished[oldSide] > 0 {
+	if key := l.keys[previous.KeyHash]; key != nil && key.inUse(olderGeneration, now) {
+		if key.unfinished[olderGeneration] > 0 {
 			return Conflict, retryInterval
 		}
-		return Conflict, key.usedUntil[oldSide] - now
+		return Conflict, key.usedUntil[olderGeneration] - now
 	}
-	if until := max(l.rollout.evictedUntil, min(l.recovered[previous.Kind], previous.Keep)); until > now {
+	if until := max(l.rollout.evictedUntil, min(l.recovered[previous.Kind], previous.Retention)); until > now {
 		return MayConflict, until - now
 	}
 	return Admitted, 0
 }
 
-// Adopt adds a message that was accepted earlier, by this process or another one. During a rollout it counts as
-// one of the generation before.
+// Adopt adds a message that was accepted earlier, by this process or another one. During a rollout the message is assigned
+// to the previous generation. Adopt has no effect if the message is already in the ledger.
 func (l *Ledger) Adopt(now time.Duration, id string, claim Claim) {
 	l.expire(now)
 	if _, known := l.entries[id]; known {
 		return
 	}
-	of := l.generation
-	if l.rollout.inProgress && of > 0 {
-		of--
+	g := l.generation
+	if l.rollout.inProgress && g > 0 {
+		g--
 	}
-	l.add(id, entry{claim, of})
+	l.add(id, entry{claim, g})
 }
 
 func (l *Ledger) add(id string, e entry) {
@@ -152,41 +152,41 @@
 	if e.KeyHash == 0 {
 		return
 	}
-	key, side := l.key(e.KeyHash, e.Kind), l.side(e)
-	key.unfinished[side]++
-	if side == oldSide && l.rollout.affected[key.kind] {
+	key, a := l.getOrCreateKey(e.KeyHash, e.Kind), l.age(e)
+	key.unfinished[a]++
+	if a == olderGeneration && l.rollout.affected[key.kind] {
 		l.rollout.unfinished++
 	}
 	l.expiring.Remove(&key.expiry)
 }
 
-// side returns which side of a rollout a message belongs to.
-func (l *Ledger) side(e entry) side {
+// age returns whether a message belongs to an older generation or to the current one.
+func (l *Ledger) age(e entry) age {
 	if e.generation < l.generation {
-		return oldSide
+		return olderGeneration
 	}
-	return newSide
+	return currentGeneration
 }
 
-// End removes a message that has its outcome. Its key stays in use for the Keep of its claim.
-func (l *Ledger) End(now time.Duration, id string) {
+// Complete removes a message that has completed. Its key stays in use for the Retention of its claim.
+func (l *Ledger) Complete(now time.Duration, id string) {
 	if e, ok := l.entries[id]; ok {
-		l.remove(now, id, now+e.Keep)
+		l.remove(now, id, now+e.Retention)
 	}
 }
 
-// Release removes a message that was not accepted. Its key is free at once.
+// Release removes a message that was not accepted. It ends the message's use of its key at once.
 func (l *Ledger) Release(now time.Duration, id string) { l.remove(now, id, 0) }
 
-// ReleaseUncertain removes a message of which it is not known whether it was accepted. If it was, and is adopted, it
-// is in the ledger again; otherwise its key stays in use until its deadline, and the Keep of its claim after that.
+// ReleaseUncertain removes a message that may have been accepted. Its key stays in use until the message's deadline, and
+// for the Retention of its claim after that. If the message was accepted, [Ledger.Adopt] adds it to the ledger again.
 func (l *Ledger) ReleaseUncertain(now time.Duration, id string, deadline time.Duration) {
 	if e, ok := l.entries[id]; ok {
-		l.remove(now, id, deadline+e.Keep)
+		l.remove(now, id, deadline+e.Retention)
 	}
 }
 
-// remove removes a message whose key stays in use until a time.
+// remove removes a message, which keeps its key in use until the given time.
 func (l *Ledger) remove(now time.Duration, id string, until time.Duration) {
 	e, ok := l.entries[id]
 	if !ok {
@@ -196,26 +196,26 @@
 	if e.KeyHash == 0 {
 		return
 	}
-	key, side := l.keys[e.KeyHash], l.side(e)
-	key.unfinished[side]--
-	key.usedUntil[side] = max(key.usedUntil[side], until)
-	if side == oldSide && l.rollout.affected[key.kind] {
+	key, a := l.keys[e.KeyHash], l.age(e)
+	key.unfinished[a]--
+	key.usedUntil[a] = max(key.usedUntil[a], until)
+	if a == olderGeneration && l.rollout.affected[key.kind] {
 		l.rollout.unfinished--
 		l.rollout.usedUntil = max(l.rollout.usedUntil, until)
 	}
-	if key.unfinished[oldSide]+key.unfinished[newSide] > 0 {
+	if key.unfinished[olderGeneration]+key.unfinished[currentGeneration] > 0 {
 		return
 	}
-	if last := max(key.usedUntil[oldSide], key.usedUntil[newSide]); last > now {
+	if last := max(key.usedUntil[olderGeneration], key.usedUntil[currentGeneration]); last > now {
 		l.expiring.Set(&key.expiry, int64(last))
 		return
 	}
 	l.deleteKey(key)
 }
 
-// Begin starts a rollout: what is in the ledger becomes part of an earlier generation. kinds are those of the keys
-// that the rules change: only for messages with previous keys of these kinds may [Ledger.Admit] be called with
-// another previous claim. Begin returns false, and changes nothing, while a rollout is in progress.
+// Begin starts a rollout: all messages and keys in the ledger become part of an earlier generation. kinds are the kinds of
+// the keys that the rules change: the caller may give [Ledger.Admit] a previous claim that differs from the current one
+// only if its kind is one of these. Begin returns false and changes nothing if a rollout is in progress.
 func (l *Ledger) Begin(now time.Duration, kinds ...Kind) bool {
 	l.expire(now)
 	if l.InProgress(now) {
@@ -227,23 +227,25 @@
 		l.rollout.affected[kind] = true
 	}
 	for _, key := range l.keys {
-		key.makePrevious()
+		key.markAllOlder()
 		if l.rollout.affected[key.kind] {
-			l.rollout.unfinished += key.unfinished[oldSide]
-			l.rollout.usedUntil = max(l.rollout.usedUntil, key.usedUntil[oldSide])
+			l.rollout.unfinished += key.unfinished[olderGeneration]
+			l.rollout.usedUntil = max(l.rollout.usedUntil, key.usedUntil[olderGeneration])
 		}
 	}
 	return true
 }
 
-// InProgress reports whether a rollout is in progress: a key of an earlier generation is in use, or may be.
+// InProgress reports whether a rollout is in progress: a key of an affected kind is, or may be, in use by a message of an
+// earlier generation.
 func (l *Ledger) InProgress(now time.Duration) bool {
-	l.rollout.inProgress = l.rollout.inProgress && (l.rollout.unfinished > 0 || l.lastUse() > now)
+	l.rollout.inProgress = l.rollout.inProgress && (l.rollout.unfinished > 0 || l.lastKeyFreeAt() > now)
 	return l.rollout.inProgress
 }
 
-// lastUse returns when the last key that the rollout affects, and that has no unfinished message, becomes free.
-func (l *Ledger) lastUse() time.Duration {
+// lastKeyFreeAt returns the time by which all keys that the rollout affects are free, except for those of unfinished
+// messages.
+func (l *Ledger) lastKeyFreeAt() time.Duration {
 	last := max(l.rollout.usedUntil, l.rollout.evictedUntil)
 	for kind, until := range l.recovered {
 		if l.rollout.affected[kind] {
@@ -253,11 +255,11 @@
 	return last
 }
 
-// Remaining returns how many messages of earlier generations are unfinished, and when the keys of all others are
-// free at the latest.
+// Remaining returns the number of unfinished messages of earlier generations whose keys the rollout affects, and the time
+// by which all other keys that it affects are free.
 func (l *Ledger) Remaining() (unfinished int, until time.Duration) {
-	return l.rollout.unfinished, l.lastUse()
+	return l.rollout.unfinished, l.lastKeyFreeAt()
 }
 
-// Size returns how many messages and keys are in the ledger.
+// Size returns the number of messages and of keys in the ledger.
 func (l *Ledger) Size() (messages, keys int) { return len(l.entries), len(l.keys) }
--- a/decide/rollout/ledger_test.go
+++ b/decide/rollout/ledger_test.go
@@ -10,233 +10,247 @@
 
 const second = time.Second
 
-var none [Kinds]time.Duration
+// noRecovered means that no key of an earlier process is in use.
+var noRecovered [KindCount]time.Duration
 
-// claim is of kind 0, as that of most tests.
-func claim(m KeyHash, keep time.Duration) Claim { return Claim{KeyHash: m, Keep: keep} }
+// newClaim returns a claim of kind 0.
+func newClaim(hash KeyHash, retention time.Duration) Claim {
+	return Claim{KeyHash: hash, Retention: retention}
+}
 
-func admit(t *testing.T, l *Ledger, now time.Duration, id string, hash, before KeyHash, want Verdict, wantWait time.Duration) {
+// expectAdmit calls Admit with claims of a retention of 12 s and checks the verdict and the wait.
+func expectAdmit(t *testing.T, l *Ledger, now time.Duration, id string, current, previous KeyHash, want Verdict, wantWait time.Duration) {
 	t.Helper()
-	if got, wait := l.Admit(now, id, claim(hash, 12*second), claim(before, 12*second)); got != want || wait != wantWait {
-		t.Errorf("%s at %v: %d with %v, want %d with %v", id, now, got, wait, want, wantWait)
+	if got, wait := l.Admit(now, id, newClaim(current, 12*second), newClaim(previous, 12*second)); got != want || wait != wantWait {
+		t.Errorf("Admit %s at %v: got verdict %d with wait %v, want %d with %v", id, now, got, wait, want, wantWait)
 	}
 }
 
-// A message whose key changes waits for the older ones with its old key, and for the key's window.
-func TestChangedKeyWaits(t *testing.T) {
-	l := New(10, none)
-	admit(t, l, 1*second, "a", 1, 0, Admitted, 0)
-	admit(t, l, 1*second, "a", 1, 0, Duplicate, 0)
+// A message whose key changes waits for older messages with its previous key, and for that key's retention after them.
+// Otherwise it could overtake them, or the partner could receive a duplicate under a different key.
+func TestAdmitChangedKeyWaitsForOlderMessagesAndRetention(t *testing.T) {
+	l := New(10, noRecovered)
+	expectAdmit(t, l, 1*second, "a", 1, 0, Admitted, 0)
+	expectAdmit(t, l, 1*second, "a", 1, 0, Duplicate, 0)
 	if !l.Begin(2*second, 0) {
-		t.Fatal("a change could not begin")
+		t.Fatal("got no rollout begun, want one")
 	}
-	admit(t, l, 3*second, "same", 1, 1, Admitted, 0)
-	admit(t, l, 3*second, "other", 2, 5, Admitted, 0)
-	admit(t, l, 3*second, "b", 2, 1, Conflict, second)
+	expectAdmit(t, l, 3*second, "same", 1, 1, Admitted, 0)
+	expectAdmit(t, l, 3*second, "other", 2, 5, Admitted, 0)
+	expectAdmit(t, l, 3*second, "b", 2, 1, Conflict, second)
 	if l.Begin(3*second, 0) {
-		t.Error("a second change began while the first was under way")
+		t.Error("got a second rollout begun while the first is in progress")
 	}
-	l.End(4*second, "a")
-	l.End(4*second, "same") // used under the current rules: nothing waits for it
-	admit(t, l, 6*second, "b", 2, 1, Conflict, 10*second)
-	admit(t, l, 16*second, "b", 2, 1, Admitted, 0)
+	l.Complete(4*second, "a")
+	l.Complete(4*second, "same") // admitted under the current rules, so no message waits for it
+	expectAdmit(t, l, 6*second, "b", 2, 1, Conflict, 10*second)
+	expectAdmit(t, l, 16*second, "b", 2, 1, Admitted, 0)
 	if l.InProgress(16*second) || !l.Begin(16*second, 0) {
-		t.Error("the change is under way still")
+		t.Error("got the rollout still in progress, want it completed and another one begun")
 	}
 }
 
-// Hashes of an earlier process, and those that were evicted, may be in use until their time is over.
-func TestUnknownKeysMayConflict(t *testing.T) {
-	l := New(2, [Kinds]time.Duration{12 * second})
+// Hashes of an earlier process and evicted hashes are not in the ledger, but may be in use until their retention ends.
+// Treating them as free would break the guarantees of their keys.
+func TestAdmitRecoveredOrEvictedHashMayConflict(t *testing.T) {
+	l := New(2, [KindCount]time.Duration{12 * second})
 	l.Begin(0, 0)
-	admit(t, l, 2*second, "a", 2, 1, MayConflict, 10*second)
-	admit(t, l, 2*second, "same", 1, 1, Admitted, 0)
+	expectAdmit(t, l, 2*second, "a", 2, 1, MayConflict, 10*second)
+	expectAdmit(t, l, 2*second, "same", 1, 1, Admitted, 0)
 	l.Release(2*second, "same")
-	if got, _ := l.Admit(2*second, "short", claim(2, 0), claim(1, second)); got != Admitted {
-		t.Errorf("a hash that was kept for a second, two after the start: %d", got)
+	if got, _ := l.Admit(2*second, "short", newClaim(2, 0), newClaim(1, second)); got != Admitted {
+		t.Errorf("got verdict %d for a hash with a retention of 1 s, 2 s after the start, want %d", got, Admitted)
 	}
 	l.Release(2*second, "short")
-	admit(t, l, 12*second, "a", 2, 1, Admitted, 0)
-	admit(t, l, 12*second, "b", 3, 0, Admitted, 0)
-	admit(t, l, 12*second, "c", 4, 0, Full, second)
-	l.End(13*second, "a")
-	l.End(14*second, "b")
-	admit(t, l, 14*second, "c", 4, 0, Admitted, 0) // no capacity for a third hash: the first is evicted
+	expectAdmit(t, l, 12*second, "a", 2, 1, Admitted, 0)
+	expectAdmit(t, l, 12*second, "b", 3, 0, Admitted, 0)
+	expectAdmit(t, l, 12*second, "c", 4, 0, Full, second)
+	l.Complete(13*second, "a")
+	l.Complete(14*second, "b")
+	expectAdmit(t, l, 14*second, "c", 4, 0, Admitted, 0) // there is no capacity for a third hash, so the first is evicted
 	if messages, keys := l.Size(); messages != 1 || keys != 2 {
-		t.Errorf("%d messages and %d keys in the ledger", messages, keys)
+		t.Errorf("got %d messages and %d keys in the ledger, want 1 and 2", messages, keys)
 	}
 	l.Begin(15*second, 0)
-	admit(t, l, 15*second, "d", 9, 8, MayConflict, 10*second)
-	admit(t, l, 15*second, "e", 9, 3, Conflict, 11*second)
+	expectAdmit(t, l, 15*second, "d", 9, 8, MayConflict, 10*second)
+	expectAdmit(t, l, 15*second, "e", 9, 3, Conflict, 11*second)
 }
 
-// The key of a message that may have been accepted is in use until its deadline and Keep, and that of an adopted one until it ends.
-func TestReleaseUncertain(t *testing.T) {
-	l := New(10, none)
-	admit(t, l, 0, "a", 1, 0, Admitted, 0)
+// The key of a message that may have been accepted stays in use until the message's deadline plus its retention, or, if
+// the message is adopted, until it completes plus its retention.
+func TestReleaseUncertainKeepsKeyInUse(t *testing.T) {
+	l := New(10, noRecovered)
+	expectAdmit(t, l, 0, "a", 1, 0, Admitted, 0)
 	l.ReleaseUncertain(0, "a", 5*second)
 	l.Begin(second, 0)
-	admit(t, l, second, "b", 2, 1, Conflict, 16*second)
-	l.Adopt(2*second, "a", claim(1, 12*second))
-	admit(t, l, 18*second, "b", 2, 1, Conflict, second)
-	l.End(20*second, "a")
-	admit(t, l, 31*second, "b", 2, 1, Conflict, second)
-	admit(t, l, 32*second, "b", 2, 1, Admitted, 0)
+	expectAdmit(t, l, second, "b", 2, 1, Conflict, 16*second)
+	l.Adopt(2*second, "a", newClaim(1, 12*second))
+	expectAdmit(t, l, 18*second, "b", 2, 1, Conflict, second)
+	l.Complete(20*second, "a")
+	expectAdmit(t, l, 31*second, "b", 2, 1, Conflict, second)
+	expectAdmit(t, l, 32*second, "b", 2, 1, Admitted, 0)
 }
 
-// A hash that was evicted during a rollout may be in use for as long as it would have been; a message that is
-// not accepted leaves the use of its key by earlier ones as it was.
-func TestEvictionDuringRollout(t *testing.T) {
-	l := New(2, none)
-	admit(t, l, 0, "a", 1, 0, Admitted, 0)
-	admit(t, l, 0, "b", 2, 0, Admitted, 0)
+// A hash that is evicted during a rollout may be in use until its retention ends. Releasing a message that was not
+// accepted does not shorten the use of its key by earlier messages.
+func TestEvictionOrReleaseKeepsEarlierUseOfKey(t *testing.T) {
+	l := New(2, noRecovered)
+	expectAdmit(t, l, 0, "a", 1, 0, Admitted, 0)
+	expectAdmit(t, l, 0, "b", 2, 0, Admitted, 0)
 	l.Begin(0, 0)
-	l.End(0, "a")
-	admit(t, l, 0, "c", 3, 0, Admitted, 0)
+	l.Complete(0, "a")
+	expectAdmit(t, l, 0, "c", 3, 0, Admitted, 0)
 	l.Release(0, "c")
-	admit(t, l, 2*second, "d", 3, 1, MayConflict, 10*second)
-	l = New(2, none)
-	admit(t, l, 0, "a", 1, 0, Admitted, 0)
-	l.End(0, "a")
-	admit(t, l, second, "b", 1, 0, Admitted, 0)
+	expectAdmit(t, l, 2*second, "d", 3, 1, MayConflict, 10*second)
+	l = New(2, noRecovered)
+	expectAdmit(t, l, 0, "a", 1, 0, Admitted, 0)
+	l.Complete(0, "a")
+	expectAdmit(t, l, second, "b", 1, 0, Admitted, 0)
 	l.Release(second, "b")
 	l.Begin(second, 0)
-	admit(t, l, 2*second, "c", 3, 1, Conflict, 10*second)
+	expectAdmit(t, l, 2*second, "c", 3, 1, Conflict, 10*second)
 }
 
-// A change lasts no longer than keys of the kinds that it concerns, and all kinds count in the next.
-func TestKinds(t *testing.T) {
-	l := New(10, [Kinds]time.Duration{1: 20 * second})
+// A rollout completes when no key of an affected kind is in use by an older message. Keys of other kinds do not delay it,
+// but are still in use in the next rollout.
+func TestRolloutWaitsOnlyForAffectedKinds(t *testing.T) {
+	l := New(10, [KindCount]time.Duration{1: 20 * second})
 	l.Admit(0, "a", Claim{1, 12 * second, 1}, Claim{})
 	l.Admit(0, "b", Claim{2, second, 2}, Claim{})
 	if !l.Begin(0, 2) || !l.InProgress(0) {
-		t.Error("no change is under way")
+		t.Error("got no rollout in progress, want one")
 	}
-	l.End(0, "b")
+	l.Complete(0, "b")
 	if l.InProgress(second) {
-		t.Error("the change waits for a hash that it does not concern")
+		t.Error("got the rollout waiting for a hash of a kind that it does not affect")
 	}
-	l.End(2*second, "a")
+	l.Complete(2*second, "a")
 	l.Begin(2*second, 1)
 	if got, wait := l.Admit(3*second, "c", Claim{3, 0, 1}, Claim{1, 12 * second, 1}); got != Conflict || wait != 11*second {
-		t.Errorf("%d with %v", got, wait)
+		t.Errorf("got verdict %d with wait %v, want %d with 11s", got, wait, Conflict)
 	}
-	if open, until := l.Remaining(); open != 0 || until != 20*second || !l.InProgress(19*second) || l.InProgress(20*second) {
-		t.Errorf("%d open, until %v", open, until)
+	if unfinished, until := l.Remaining(); unfinished != 0 || until != 20*second || !l.InProgress(19*second) || l.InProgress(20*second) {
+		t.Errorf("got %d unfinished messages and keys in use until %v, want 0 and the rollout in progress until 20s", unfinished, until)
 	}
 }
 
-// oracle is the obvious form: every message that ever was.
+// oracle is a simple model of the ledger that records every admitted message and evicts none.
 type oracle struct {
-	all []*past
-	gen int
+	messages   []*oracleMessage
+	generation int
+}
+
+type oracleMessage struct {
+	id         string
+	hash       KeyHash
+	retention  time.Duration
+	usedUntil  time.Duration // of the hash, once the message is no longer unfinished
+	generation int
+	unfinished bool
 }
 
-type past struct {
-	id          string
-	hash        KeyHash
-	keep, until time.Duration
-	gen         int
-	open        bool
+// usesHash reports whether the message is of an earlier generation and uses its hash.
+func (o *oracle) usesHash(m *oracleMessage, now time.Duration) bool {
+	return m.generation < o.generation && (m.unfinished || m.usedUntil > now)
 }
 
-func (o *oracle) inUse(m KeyHash, now time.Duration) bool {
-	for _, p := range o.all {
-		if p.hash == m && p.gen < o.gen && (p.open || p.until > now) {
+func (o *oracle) inUse(hash KeyHash, now time.Duration) bool {
+	for _, m := range o.messages {
+		if m.hash == hash && o.usesHash(m, now) {
 			return true
 		}
 	}
 	return false
 }
 
-func (o *oracle) running(now time.Duration) bool {
-	for _, p := range o.all {
-		if p.hash != 0 && p.gen < o.gen && (p.open || p.until > now) {
+func (o *oracle) inProgress(now time.Duration) bool {
+	for _, m := range o.messages {
+		if m.hash != 0 && o.usesHash(m, now) {
 			return true
 		}
 	}
 	return false
 }
 
-func (o *oracle) find(id string) *past {
-	for _, p := range o.all {
-		if p.open && p.id == id {
-			return p
+func (o *oracle) findUnfinished(id string) *oracleMessage {
+	for _, m := range o.messages {
+		if m.unfinished && m.id == id {
+			return m
 		}
 	}
 	return nil
 }
 
-// Against the oracle: a hash in use is never admitted; with capacity for all, nothing else waits, and a
-// change ends as soon as no older hash is in use.
-func TestLedgerAgainstOracle(t *testing.T) {
+// The ledger never admits a message whose previous hash is in use. With capacity for all keys it also rejects no other
+// message, and a rollout completes as soon as no older hash is in use.
+func TestLedgerMatchesOracle(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		capacity := rapid.SampledFrom([]int{2, 4, 1000}).Draw(t, "capacity")
-		l, o, now := New(capacity, none), &oracle{}, time.Duration(0)
+		l, o, now := New(capacity, noRecovered), &oracle{}, time.Duration(0)
 		for i := range rapid.IntRange(1, 80).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(0, 3).Draw(t, "pause")) * second
 			id := fmt.Sprint(rapid.IntRange(0, 8).Draw(t, "id"))
 			hash := KeyHash(rapid.IntRange(0, 4).Draw(t, "hash"))
-			keep := time.Duration(rapid.IntRange(0, 5).Draw(t, "keep")) * second
-			switch op := rapid.SampledFrom([]string{"admit", "admit", "admit", "end", "release", "release uncertain", "begin"}).Draw(t, "op"); op {
+			retention := time.Duration(rapid.IntRange(0, 5).Draw(t, "retention")) * second
+			switch op := rapid.SampledFrom([]string{"admit", "admit", "admit", "complete", "release", "release uncertain", "begin"}).Draw(t, "op"); op {
 			case "admit":
-				before := KeyHash(rapid.IntRange(0, 4).Draw(t, "before"))
-				got, wait := l.Admit(now, id, claim(hash, keep), claim(before, keep))
-				inUse := before != 0 && before != hash && o.running(now) && o.inUse(before, now)
+				previous := KeyHash(rapid.IntRange(0, 4).Draw(t, "previous"))
+				got, wait := l.Admit(now, id, newClaim(hash, retention), newClaim(previous, retention))
+				inUse := previous != 0 && previous != hash && o.inProgress(now) && o.inUse(previous, now)
 				switch {
-				case o.find(id) != nil:
+				case o.findUnfinished(id) != nil:
 					if got != Duplicate {
-						t.Fatalf("step %d: %d for an id in the ledger", i, got)
+						t.Fatalf("step %d: got verdict %d for an id in the ledger, want %d", i, got, Duplicate)
 					}
 				case inUse && got == Admitted:
-					t.Fatalf("step %d: hash %d was admitted, and is in use", i, before)
+					t.Fatalf("step %d: got a message admitted whose previous hash %d is in use", i, previous)
 				case !inUse && got != Admitted && capacity == 1000:
-					t.Fatalf("step %d: hash %d is free: %d", i, before, got)
+					t.Fatalf("step %d: got verdict %d while the previous hash %d is free, want %d", i, got, previous, Admitted)
 				case got == Conflict || got == MayConflict || got == Full:
 					if wait <= 0 {
-						t.Fatalf("step %d: %d with a wait of %v", i, got, wait)
+						t.Fatalf("step %d: got verdict %d with a wait of %v, want a positive one", i, got, wait)
 					}
 				case got == Admitted:
-					o.all = append(o.all, &past{id: id, hash: hash, keep: keep, gen: o.gen, open: true})
+					o.messages = append(o.messages, &oracleMessage{id: id, hash: hash, retention: retention, generation: o.generation, unfinished: true})
 				}
 			case "begin":
-				running := o.running(now)
-				if began := l.Begin(now, 0); began && running || !began && !running && capacity == 1000 {
-					t.Fatalf("step %d: began %t while one is under way %t", i, began, running)
+				inProgress := o.inProgress(now)
+				if began := l.Begin(now, 0); began && inProgress || !began && !inProgress && capacity == 1000 {
+					t.Fatalf("step %d: got a rollout begun %t while one is in progress %t", i, began, inProgress)
 				} else if began {
-					o.gen++
+					o.generation++
 				}
 			default:
-				p := o.find(id)
+				m := o.findUnfinished(id)
 				switch op {
-				case "end":
-					l.End(now, id)
+				case "complete":
+					l.Complete(now, id)
 				case "release":
 					l.Release(now, id)
 				case "release uncertain":
 					l.ReleaseUncertain(now, id, now+2*second)
 				}
-				if p != nil {
-					p.open = false
+				if m != nil {
+					m.unfinished = false
 					switch op {
-					case "end":
-						p.until = now + p.keep
+					case "complete":
+						m.usedUntil = now + m.retention
 					case "release uncertain":
-						p.until = now + 2*second + p.keep
+						m.usedUntil = now + 2*second + m.retention
 					}
 				}
 			}
 			if messages, keys := l.Size(); messages > capacity || keys > capacity {
-				t.Fatalf("step %d: %d messages and %d keys, capacity for %d", i, messages, keys, capacity)
+				t.Fatalf("step %d: got %d messages and %d keys, want at most the capacity of %d", i, messages, keys, capacity)
 			}
 		}
-		for _, p := range o.all {
-			if p.open {
-				l.End(now, p.id)
+		for _, m := range o.messages {
+			if m.unfinished {
+				l.Complete(now, m.id)
 			}
 		}
 		if l.InProgress(now + 1000*second) {
-			t.Fatal("a change never ends")
+			t.Fatal("got the rollout in progress 1000 s after the last message completed")
 		}
 	})
 }
--- a/internal/demo/rules.go
+++ b/internal/demo/rules.go
@@ -28,9 +28,9 @@
 // What the nodes log about changes of their rules.
 const (
 	logRulesRejected   = "its rules may cost"
-	logChangeStarted   = "rules: a change has begun"
-	logChangeContinues = "the change that was under way goes on"
-	logChangeCompleted = "rules: the change is over"
+	logChangeStarted   = "rules: change started"
+	logChangeContinues = "rules: change resumed"
+	logChangeCompleted = "rules: change completed"
 )
 
 // ruleFile declares the readings of meters, with one rule for those that have a key of meter and number, and one for
--- a/internal/ingress/http/handler.go
+++ b/internal/ingress/http/handler.go
@@ -149,7 +149,7 @@
 	if err := h.applyRules(m); err != nil {
 		var wait *ruleset.WaitError
 		if errors.As(err, &wait) {
-			h.rejectUntil(w, wait.Why, wait.RetryAfter)
+			h.rejectUntil(w, wait.Reason, wait.RetryAfter)
 		} else {
 			h.reject(w, r, err)
 		}
--- a/internal/ruleset/change.go
+++ b/internal/ruleset/change.go
@@ -8,7 +8,8 @@
 	"wingmount/internal/failpoint"
 )
 
-// Failure points around the record of a change. Tests arm them by these names, which are older than the package's.
+// Failure points before, during and after the write of a change's record. Tests arm them by these names, which are older
+// than the package's name.
 var (
 	beforeRecord = failpoint.New("ruling/before-record")
 	afterWrite   = failpoint.New("ruling/after-write")
@@ -16,7 +17,7 @@
 	afterSwitch  = failpoint.New("ruling/after-switch")
 )
 
-var errChangeInProgress = errors.New("a change of rules is under way")
+var errChangeInProgress = errors.New("a change of rules is in progress")
 
 // ChangeInProgress reports whether a change is in progress.
 func (m *Manager) ChangeInProgress() bool {
@@ -25,32 +26,33 @@
 	return m.previous != nil
 }
 
-// Reload reads the rule file again and changes to its rules. A file that can't be read, does not compile or can't be
-// persisted changes nothing. While a change is in progress the new rules wait until it has completed.
+// Reload reads the rule file again and starts a change to its rules. If a change is in progress, the new one starts when
+// that one has completed. An error means that the file can't be read, does not compile or can't be persisted; the active
+// rules are then unchanged.
 func (m *Manager) Reload() error {
 	loaded, text, err := m.config.Load()
 	if err != nil {
 		return err
 	}
-	return m.offer(ruleSet{loaded, text})
+	return m.requestChange(ruleSet{loaded, text})
 }
 
-// offer changes to a rule set, now or when the change in progress has completed.
-func (m *Manager) offer(set ruleSet) error {
+// requestChange starts a change to a rule set, or queues it if a change is in progress.
+func (m *Manager) requestChange(set ruleSet) error {
 	m.fileMu.Lock()
 	defer m.fileMu.Unlock()
-	return m.change(set)
+	return m.requestChangeLocked(set)
 }
 
-// change is offer for callers that lock fileMu.
-func (m *Manager) change(set ruleSet) error {
-	completed := m.endChange()
+// requestChangeLocked is requestChange for callers that hold fileMu.
+func (m *Manager) requestChangeLocked(set ruleSet) error {
+	completed := m.completeChange()
 	m.lockAndDrain()
 	if m.previous != nil {
 		queued := m.queueChange(set)
 		m.mu.Unlock()
 		if queued {
-			m.config.Log.Info("rules: the new ones wait for the end of the change that is under way")
+			m.config.Log.Info("rules: change queued until the change in progress has completed")
 		}
 		return nil
 	}
@@ -58,16 +60,16 @@
 	m.mu.Unlock()
 	switch {
 	case set.text != active.text:
-		return m.switchTo(set, active)
-	case completed: // the record still has both sets of the change
+		return m.startChange(set, active)
+	case completed: // the record still contains both rule sets of the change
 		return writeActiveRules(m.config.RecordPath, []string{set.text})
 	default:
 		return nil
 	}
 }
 
-// queueChange makes a rule set the pending one, in place of another. It reports false if the set is the active one, so
-// that nothing is pending. The caller locks mu.
+// queueChange replaces the pending rule set. It returns false if the set is the active one, so that no change is pending.
+// The caller holds mu.
 func (m *Manager) queueChange(set ruleSet) bool {
 	if set.text == m.active.text {
 		m.pending = nil
@@ -77,8 +79,8 @@
 	return true
 }
 
-// switchTo persists both rule sets and begins the change from one to the other. The caller locks fileMu.
-func (m *Manager) switchTo(set, active ruleSet) error {
+// startChange persists both rule sets and starts the change from active to set. The caller holds fileMu.
+func (m *Manager) startChange(set, active ruleSet) error {
 	if err := beforeRecord.At(); err != nil {
 		return err
 	}
@@ -87,7 +89,7 @@
 	}
 	now := m.lockAndDrain()
 	m.previous, m.active = &active, set
-	began := m.beginChange(now)
+	began := m.beginRollout(now)
 	if began {
 		m.changeCount++
 	} else {
@@ -97,13 +99,13 @@
 	if !began {
 		return errChangeInProgress
 	}
-	m.config.Log.Info("rules: a change has begun", "rules", set.RuleCount(), "cost_bound", set.CostBound())
+	m.config.Log.Info("rules: change started", "rules", set.RuleCount(), "cost_bound", set.CostBound())
 	return afterSwitch.At()
 }
 
-// beginChange begins the change from previous to active in the ledger. It reports false if the ledger has a change in
-// progress. The caller locks mu.
-func (m *Manager) beginChange(now time.Duration) bool {
+// beginRollout begins the rollout from previous to active in the ledger. It returns false if the ledger has a rollout in
+// progress. The caller holds mu.
+func (m *Manager) beginRollout(now time.Duration) bool {
 	var kinds []rollout.Kind
 	changed := map[string]bool{}
 	for _, class := range m.previous.ChangedClasses(m.active.Set) {
@@ -119,9 +121,9 @@
 	return true
 }
 
-// endChange ends the change in progress once no key of an older message counts any more. It reports whether a change
-// has ended.
-func (m *Manager) endChange() bool {
+// completeChange completes the change in progress if no older message uses an affected key any longer. It reports whether
+// it completed one.
+func (m *Manager) completeChange() bool {
 	now := m.lockAndDrain()
 	defer m.mu.Unlock()
 	if m.previous == nil || m.ledger.InProgress(now) {
@@ -130,62 +132,62 @@
 	m.previous = nil
 	m.changeCount++
 	c := m.counts
-	m.config.Log.Info("rules: the change is over", "evaluated", c.Evaluated, "matched", c.Matched, "invalid", c.Invalid,
+	m.config.Log.Info("rules: change completed", "evaluated", c.Evaluated, "matched", c.Matched, "invalid", c.Invalid,
 		"waits", c.Waits, "highest_cost", c.HighestCost)
 	return true
 }
 
-// Run ends changes that have completed and begins pending ones, until the context ends.
+// Run completes changes, starts pending ones and logs counts, until the context is done.
 func (m *Manager) Run(ctx context.Context) {
 	changeTicker := time.NewTicker(changeCheckInterval)
 	defer changeTicker.Stop()
 	logTicker := time.NewTicker(logInterval)
 	defer logTicker.Stop()
-	var logged Counts
+	var lastLogged Counts
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-logTicker.C:
-			logged = m.logCounts(logged)
+			lastLogged = m.logCounts(lastLogged)
 		case <-changeTicker.C:
-			if err := m.advance(); err != nil {
-				m.config.Log.Error("rules: a change", "err", err)
+			if err := m.advanceChange(); err != nil {
+				m.config.Log.Error("rules: advancing a change failed", "err", err)
 			}
 		}
 	}
 }
 
-// advance ends a change that has completed, and begins the pending one.
-func (m *Manager) advance() error {
+// advanceChange completes the change in progress if possible, and then starts the pending one.
+func (m *Manager) advanceChange() error {
 	m.fileMu.Lock()
 	defer m.fileMu.Unlock()
-	if !m.endChange() {
+	if !m.completeChange() {
 		return nil
 	}
 	m.mu.Lock()
 	pending, text := m.pending, m.active.text
 	m.pending = nil
 	m.mu.Unlock()
-	// A process that restarts before this is persisted resumes the completed change, which is harmless.
+	// If the process restarts before this write is durable, it resumes the completed change, which is harmless.
 	err := writeActiveRules(m.config.RecordPath, []string{text})
 	if pending == nil {
 		return err
 	}
-	return errors.Join(err, m.change(*pending))
+	return errors.Join(err, m.requestChangeLocked(*pending))
 }
 
-// logCounts logs how many messages were invalid or had to wait since the counts that were logged last. It returns the
-// present counts.
-func (m *Manager) logCounts(logged Counts) Counts {
+// logCounts logs the numbers of messages that were invalid or had to wait since the counts lastLogged. It returns the
+// current counts.
+func (m *Manager) logCounts(lastLogged Counts) Counts {
 	c := m.Counts()
-	evaluated := c.Evaluated - logged.Evaluated
-	if c.Invalid > logged.Invalid {
-		m.config.Log.Warn("rules: messages did not fit", "invalid", c.Invalid-logged.Invalid, "evaluated", evaluated,
+	evaluated := c.Evaluated - lastLogged.Evaluated
+	if c.Invalid > lastLogged.Invalid {
+		m.config.Log.Warn("rules: messages were invalid", "invalid", c.Invalid-lastLogged.Invalid, "evaluated", evaluated,
 			"last_place", c.LastInvalidPlace, "interval", logInterval)
 	}
-	if c.Waits > logged.Waits {
-		m.config.Log.Warn("rules: messages had to wait for a change", "waits", c.Waits-logged.Waits, "evaluated", evaluated,
+	if c.Waits > lastLogged.Waits {
+		m.config.Log.Warn("rules: messages had to wait", "waits", c.Waits-lastLogged.Waits, "evaluated", evaluated,
 			"interval", logInterval)
 	}
 	return c
--- a/internal/ruleset/evaluate.go
+++ b/internal/ruleset/evaluate.go
@@ -12,19 +12,19 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// WaitError rejects a message for as long as accepting it could break a guarantee about its key. The client may
-// submit it again.
+// WaitError rejects a message temporarily: accepting it now could break a guarantee about its key, or the ledger is full.
+// The client may submit the message again after RetryAfter.
 type WaitError struct {
 	RetryAfter time.Duration
-	Why        string
+	Reason     string // sent to the client
 }
 
-func (e *WaitError) Error() string { return e.Why }
+func (e *WaitError) Error() string { return e.Reason }
 
-// waitRulesChanging is the reason of a message that was overtaken by a change at each attempt.
+// waitRulesChanging is the reason given if a change began or completed during each attempt to evaluate a message.
 const waitRulesChanging = "the rules are being changed"
 
-// waitReasons are the texts that clients get for messages that have to wait.
+// waitReasons contains the reasons sent to clients whose messages have to wait.
 var waitReasons = map[rollout.Verdict]string{
 	rollout.Duplicate:   "the message is being taken",
 	rollout.Full:        "there are too many messages",
@@ -32,13 +32,13 @@
 	rollout.MayConflict: "the rules change its key, and an older message may have its old one",
 }
 
-// Guarantees about the messages of one key, as bits of a kind. A class gives any combination.
+// Guarantees about messages with the same key, as bits of a kind. A class may give any combination.
 const (
-	orderedKeys      rollout.Kind = 1 << iota // delivered in order
-	deduplicatedKeys                          // a duplicate is dropped by the partner
+	orderedKeys      rollout.Kind = 1 << iota // the messages are delivered in order
+	deduplicatedKeys                          // the partner drops duplicates
 )
 
-// keyGuarantees returns what a class guarantees about the messages of one key.
+// keyGuarantees returns the guarantees of a class about messages with the same key.
 func keyGuarantees(c rules.Class) rollout.Kind {
 	kind := rollout.Kind(0)
 	if c.Ordered {
@@ -50,7 +50,8 @@
 	return kind
 }
 
-// claim returns the claim of a key in a class; it is zero if the class guarantees nothing about keys.
+// claim returns the ledger's claim for a key in a class. It is zero if the key is empty or the class guarantees nothing
+// about keys.
 func (m *Manager) claim(className, key string) rollout.Claim {
 	class := m.classes[className]
 	if key == "" || !class.GuaranteesKeys() {
@@ -60,11 +61,12 @@
 	digest := xxhash.New()
 	_, _ = digest.Write([]byte{byte(kind)}) // writing to a digest never fails
 	_, _ = digest.WriteString(key)
-	hash := max(1, digest.Sum64()) // 0 is no key
-	return rollout.Claim{KeyHash: rollout.KeyHash(hash), Keep: class.KeyRetention, Kind: kind}
+	hash := max(1, digest.Sum64()) // 0 means that there is no key
+	return rollout.Claim{KeyHash: rollout.KeyHash(hash), Retention: class.KeyRetention, Kind: kind}
 }
 
-// lockAndDrain locks mu, passes completed messages to the ledger, and returns the ledger's time.
+// lockAndDrain locks mu, passes the completed messages recorded by ObserveCompletions to the ledger, and returns the
+// ledger's time. The caller unlocks mu.
 func (m *Manager) lockAndDrain() time.Duration {
 	m.mu.Lock()
 	now := time.Since(m.start)
@@ -73,27 +75,27 @@
 	m.completions.ids = nil
 	m.completions.Unlock()
 	for _, id := range completed {
-		m.ledger.End(now, id)
+		m.ledger.Complete(now, id)
 	}
 	return now
 }
 
-// Evaluate evaluates a message with the class and perhaps the key that its client gave, and adds it to the ledger.
-// It stays there until it completes, or [Manager.Release] or [Manager.ReleaseUncertain] is called. The error is a
-// [*rules.InvalidMessageError] or a [*WaitError].
+// Evaluate returns the class and key that the active rules give a message, and adds the message to the ledger. The message
+// stays there until it completes, or until [Manager.Release] or [Manager.ReleaseUncertain] is called. The error is a
+// [*rules.InvalidMessageError] or a [*WaitError]; the message is then not in the ledger, unless an earlier call added it.
 func (m *Manager) Evaluate(in rules.Input) (rules.Result, error) {
 	for range maxEvaluationAttempts {
-		result, overtaken, err := m.tryEvaluate(in)
-		if !overtaken {
+		result, rulesChanged, err := m.tryEvaluate(in)
+		if !rulesChanged {
 			return result, err
 		}
 	}
-	return rules.Result{}, &WaitError{RetryAfter: changeCheckInterval, Why: waitRulesChanging}
+	return rules.Result{}, &WaitError{RetryAfter: changeCheckInterval, Reason: waitRulesChanging}
 }
 
-// tryEvaluate evaluates a message without a lock, then admits it if the rules are still the same. It reports whether
-// a change has overtaken the evaluation.
-func (m *Manager) tryEvaluate(in rules.Input) (result rules.Result, overtaken bool, err error) {
+// tryEvaluate evaluates a message without holding mu, and then adds it to the ledger unless a change began or completed
+// meanwhile, which it reports as rulesChanged.
+func (m *Manager) tryEvaluate(in rules.Input) (result rules.Result, rulesChanged bool, err error) {
 	m.lockAndDrain()
 	active, previous, changeCount := m.active, m.previous, m.changeCount
 	affected := previous != nil && m.changedClasses[in.Class]
@@ -102,9 +104,9 @@
 	result, err = active.Evaluate(in)
 	previousClaim := rollout.Claim{}
 	if err == nil && affected {
-		// A message that the previous rules would have rejected has no relation to messages that they accepted.
-		if before, err := previous.Evaluate(in); err == nil {
-			previousClaim = m.claim(before.Class, before.Key)
+		// The previous rules give no key to a message that they reject, so it has no key in common with an older message.
+		if previousResult, err := previous.Evaluate(in); err == nil {
+			previousClaim = m.claim(previousResult.Class, previousResult.Key)
 		}
 	}
 
@@ -113,15 +115,15 @@
 	if m.changeCount != changeCount {
 		return rules.Result{}, true, nil
 	}
-	m.count(result, err)
+	m.countEvaluation(result, err)
 	if err != nil {
 		return result, false, err
 	}
 	return result, false, m.admit(now, in.ID, m.claim(result.Class, result.Key), previousClaim)
 }
 
-// count counts an evaluated message. The caller locks mu.
-func (m *Manager) count(result rules.Result, err error) {
+// countEvaluation adds an evaluated message to the counts. The caller holds mu.
+func (m *Manager) countEvaluation(result rules.Result, err error) {
 	m.counts.Evaluated++
 	m.counts.HighestCost = max(m.counts.HighestCost, result.Cost)
 	if result.Rule != rules.NoRule {
@@ -134,39 +136,39 @@
 	}
 }
 
-// admit adds a message to the ledger, or returns a [*WaitError]. The caller locks mu.
+// admit adds a message to the ledger, or returns a [*WaitError]. The caller holds mu.
 func (m *Manager) admit(now time.Duration, id string, current, previous rollout.Claim) error {
 	verdict, wait := m.ledger.Admit(now, id, current, previous)
 	if verdict == rollout.Admitted {
 		return nil
 	}
 	m.counts.Waits++
-	return &WaitError{RetryAfter: min(max(wait, changeCheckInterval), maxRetryAfter), Why: waitReasons[verdict]}
+	return &WaitError{RetryAfter: min(max(wait, changeCheckInterval), maxRetryAfter), Reason: waitReasons[verdict]}
 }
 
-// Release removes an evaluated message that was not accepted.
+// Release removes an evaluated message that was not accepted from the ledger.
 func (m *Manager) Release(id string) {
 	now := m.lockAndDrain()
 	defer m.mu.Unlock()
 	m.ledger.Release(now, id)
 }
 
-// ReleaseUncertain removes an evaluated message that may have been accepted. Its key counts as in use until its
-// deadline.
+// ReleaseUncertain removes an evaluated message that may have been accepted from the ledger. Its key stays in use until
+// the message's deadline, and for the key retention of its class after that.
 func (m *Manager) ReleaseUncertain(id string, deadline time.Time) {
 	now := m.lockAndDrain()
 	defer m.mu.Unlock()
 	m.ledger.ReleaseUncertain(now, id, now+max(0, time.Until(deadline)))
 }
 
-// Adopt adds a persisted message of another process.
+// Adopt adds a message that was persisted, by this process or another one, to the ledger.
 func (m *Manager) Adopt(adopted *message.Message) {
 	now := m.lockAndDrain()
 	defer m.mu.Unlock()
 	m.adopt(now, adopted)
 }
 
-// adopt is Adopt for callers that lock mu.
+// adopt is Adopt for callers that hold mu.
 func (m *Manager) adopt(now time.Duration, adopted *message.Message) {
 	className := ""
 	if adopted.Class >= 0 && adopted.Class < len(m.config.ClassNames) {
@@ -175,7 +177,7 @@
 	m.ledger.Adopt(now, adopted.ID, m.claim(className, adopted.Key))
 }
 
-// ObserveCompletions records which messages have completed. It does not wait for evaluations.
+// ObserveCompletions records the completed messages for the ledger. It does not lock mu, so evaluations do not delay it.
 func (m *Manager) ObserveCompletions(observations []admission.Observation) {
 	m.completions.Lock()
 	defer m.completions.Unlock()
--- a/internal/ruleset/golden_test.go
+++ b/internal/ruleset/golden_test.go
@@ -8,8 +8,9 @@
 	"wingmount/internal/testkit"
 )
 
-// The form of the record is stable: it is written byte for byte as in earlier versions, and read with every text unchanged.
-func TestGoldenRecord(t *testing.T) {
+// The record's format is stable: the written bytes equal those of earlier versions, and the texts read from them are
+// unchanged. Otherwise a node could not start with the record of an earlier version.
+func TestGoldenRecordFormatIsStable(t *testing.T) {
 	for name, texts := range map[string][]string{
 		"none":   {""},
 		"one":    {"[[rule]]\nname = \"a\"\nkey = 'body.a + \"<é>\"'\n"},
@@ -32,7 +33,8 @@
 	}
 }
 
-// A process that finds the record of a change continues it, and one with a single set begins with that.
+// A process that finds a record with two rule sets resumes their change. A process that finds a record with one rule set
+// starts with that set.
 func TestGoldenRecordIsContinued(t *testing.T) {
 	for name, changing := range map[string]bool{"one_set": false, "change": true} {
 		t.Run(name, func(t *testing.T) {
@@ -48,7 +50,7 @@
 			testkit.CopyGolden(t, file, f.record)
 			m := f.start(false)
 			if m.ChangeInProgress() != changing {
-				t.Errorf("got changing %t, want %t", m.ChangeInProgress(), changing)
+				t.Errorf("got change in progress %t, want %t", m.ChangeInProgress(), changing)
 			}
 			expectKey(t, m, input("m", "x", "y"), map[bool]string{false: "y", true: ""}[changing])
 		})
--- a/internal/ruleset/manager.go
+++ b/internal/ruleset/manager.go
@@ -1,11 +1,12 @@
-// Package ruleset manages the active rule set: it evaluates messages by it, changes it while messages are in flight,
-// and persists it.
+// Package ruleset manages the active rule set: it evaluates messages with it, changes it while messages are in flight, and
+// persists it.
 //
-// It guarantees that no message is evaluated by rules that are not persisted, that a change never gives a message
-// another key while an older message still uses its previous key (see decide/rollout), and that a rule file which does
-// not compile, or can't be persisted, changes nothing.
+// The package guarantees:
+//   - no message is evaluated by rules that are not persisted;
+//   - a change never gives a message a new key while an older message still uses the message's previous key;
+//   - a rule file that does not compile, or can't be persisted, changes nothing.
 //
-// A change of rules is a rollout in decide/rollout, from the previous to the active rule set.
+// A change is a rollout in decide/rollout, from the previous to the active rule set.
 //
 // One [Manager] is shared by all ingress handlers and is safe for concurrent use. Start reading at [Open],
 // [Manager.Evaluate] (evaluate.go) and [Manager.Reload] (change.go).
@@ -22,17 +23,17 @@
 )
 
 const (
-	// defaultLedgerCapacity bounds the messages in flight that the ledger has, and its keys. A message beyond it is
-	// rejected, also while no change is in progress (rollout.Full), whatever the node's own limit is. Evicting a key
-	// beyond it only makes messages wait during a change.
+	// defaultLedgerCapacity is the maximum number of messages in flight in the ledger, and of keys. A message above it is
+	// rejected (rollout.Full), even if no change is in progress and the node's own limit is higher. A key above it is
+	// evicted, which only makes messages wait during a change.
 	defaultLedgerCapacity = 1 << 17
 	// changeCheckInterval is how often the manager checks whether a change has completed.
 	changeCheckInterval = 250 * time.Millisecond
 	// logInterval is how often the manager logs how many messages were invalid or had to wait.
 	logInterval = 10 * time.Second
-	// maxRetryAfter is the longest time that a client is asked to wait.
+	// maxRetryAfter is the maximum time that a client is asked to wait.
 	maxRetryAfter = 30 * time.Second
-	// maxEvaluationAttempts is how often a message is evaluated again because a change began or completed meanwhile.
+	// maxEvaluationAttempts is how often a message is evaluated at most if a change begins or completes meanwhile.
 	maxEvaluationAttempts = 4
 )
 
@@ -42,25 +43,25 @@
 	Load func() (*rules.Set, string, error)
 	// Parse compiles a text that Load returned in an earlier process.
 	Parse      func(text string) (*rules.Set, error)
-	RecordPath string // file that persists the active rules
+	RecordPath string // path of the file that persists the active rules
 	Classes    []rules.Class
-	ClassNames []string           // by the class numbers of messages
+	ClassNames []string           // by class number, see [message.Message]
 	Unfinished []*message.Message // accepted by earlier processes
-	// FirstStart means that there was no earlier process: no keys are in use but those of Unfinished.
+	// FirstStart means that there was no earlier process, so only the keys of Unfinished are in use.
 	FirstStart     bool
 	LedgerCapacity int // messages in flight, and keys; 0 means defaultLedgerCapacity
 	Log            *slog.Logger
 }
 
-// Counts are numbers of messages since the start.
+// Counts contains numbers of messages since the start.
 type Counts struct {
 	Evaluated uint64
-	Matched   uint64 // by a rule
-	Invalid   uint64 // for the rules
-	Waits     uint64 // rejected until a change has completed
+	Matched   uint64 // matched by a rule
+	Invalid   uint64 // could not be evaluated, see [rules.InvalidMessageError]
+	Waits     uint64 // rejected with a [WaitError] by the ledger
 	// HighestCost is the highest cost of evaluating one message, in cost units.
 	HighestCost uint64
-	// LastInvalidPlace is the place of the last error in a message. It has nothing of the message's content.
+	// LastInvalidPlace is the place of the error in the last invalid message. It contains nothing of the message's content.
 	LastInvalidPlace string
 }
 
@@ -70,31 +71,32 @@
 	text string
 }
 
-// Manager evaluates messages by the active rule set, and changes it. It is safe for concurrent use.
+// Manager evaluates messages with the active rule set, and changes the rule set. It is safe for concurrent use.
 type Manager struct {
 	config  Config
 	classes map[string]rules.Class
 	start   time.Time // origin of the ledger's time
 
-	fileMu sync.Mutex // serializes changes; locked before mu while the rule file is read or the record written
+	fileMu sync.Mutex // serializes changes and writes of the record; locked before mu
 
 	completions struct {
 		sync.Mutex
-		ids []string // of completed messages that the ledger does not know of yet
+		ids []string // of completed messages that are not yet passed to the ledger
 	}
 
 	mu       sync.Mutex // guards the fields below
 	active   ruleSet
 	previous *ruleSet // nil unless a change is in progress
-	pending  *ruleSet // begins when the change in progress has completed; nil if there is none
-	// changedClasses are the kinds of message, by class, for which previous and active may give different results.
+	pending  *ruleSet // becomes active when the change in progress has completed; nil if no change is queued
+	// changedClasses is the set of classes of messages for which previous and active may give different results.
 	changedClasses map[string]bool
-	changeCount    int // changes that began or completed
+	changeCount    int // incremented when a change begins and when it completes
 	ledger         *rollout.Ledger
 	counts         Counts
 }
 
-// Open continues with the persisted rules, and changes to those of the rule file.
+// Open returns a manager with the persisted rules and starts a change to the rules of the rule file. At the first start
+// the rules of the file are active at once.
 func Open(c Config) (*Manager, error) {
 	if c.LedgerCapacity == 0 {
 		c.LedgerCapacity = defaultLedgerCapacity
@@ -112,26 +114,26 @@
 	if err != nil {
 		return nil, err
 	}
-	m.ledger = rollout.New(c.LedgerCapacity, recoveredKeys(c, len(persisted) > 0))
+	m.ledger = rollout.New(c.LedgerCapacity, recoveredKeyRetention(c, len(persisted) > 0))
 	switch {
 	case len(persisted) > 0:
 		if err := m.restore(persisted); err != nil {
 			return nil, err
 		}
-	case c.FirstStart: // no message was evaluated by other rules
+	case c.FirstStart: // no message was evaluated with other rules
 		m.active = file
 		return m, writeActiveRules(c.RecordPath, []string{text})
 	default:
 		m.active = ruleSet{rules.Empty(), ""}
 	}
 	m.resume()
-	return m, m.offer(file)
+	return m, m.requestChange(file)
 }
 
-// recoveredKeys returns how long keys of an earlier process may be in use, by their kind: the longest key retention
-// of the kind's classes, or 0 if there was no earlier process.
-func recoveredKeys(c Config, hasRecord bool) [rollout.Kinds]time.Duration {
-	var retention [rollout.Kinds]time.Duration
+// recoveredKeyRetention returns how long keys of an earlier process may be in use, by kind: the longest key retention of
+// the kind's classes, or 0 if there was no earlier process.
+func recoveredKeyRetention(c Config, hasRecord bool) [rollout.KindCount]time.Duration {
+	var retention [rollout.KindCount]time.Duration
 	if c.FirstStart && !hasRecord {
 		return retention
 	}
@@ -142,14 +144,15 @@
 	return retention
 }
 
-// restore sets the persisted rule sets: the active one, or during a change the previous and the active one.
+// restore sets the active rule set to the persisted one and, if a change was in progress, the previous rule set too.
 func (m *Manager) restore(texts []string) error {
 	var sets []ruleSet
 	for _, text := range texts {
 		set, err := m.config.Parse(text)
 		if err != nil {
-			return fmt.Errorf("the rules on record in %s do not fit this configuration: %w: start with the one that they fit, "+
-				"or remove the file once all messages have ended and their keys are forgotten", m.config.RecordPath, err)
+			return fmt.Errorf("the rules in the record %s do not compile with this configuration: %w: start with the configuration "+
+				"that they were compiled with, or remove the file once all messages have completed and their keys' retention has ended",
+				m.config.RecordPath, err)
 		}
 		sets = append(sets, ruleSet{set, text})
 	}
@@ -160,7 +163,7 @@
 	return nil
 }
 
-// resume adds the unfinished messages of earlier processes to the ledger and resumes a change that was in progress.
+// resume adds the unfinished messages of earlier processes to the ledger, and resumes the change that was in progress.
 func (m *Manager) resume() {
 	for _, unfinished := range m.config.Unfinished {
 		if unfinished.FinalResponse == nil {
@@ -168,8 +171,8 @@
 		}
 	}
 	if m.previous != nil {
-		m.beginChange(0)
-		m.config.Log.Info("rules: the change that was under way goes on", "rules", m.active.RuleCount())
+		m.beginRollout(0)
+		m.config.Log.Info("rules: change resumed", "rules", m.active.RuleCount())
 	}
 }
 
--- a/internal/ruleset/manager_test.go
+++ b/internal/ruleset/manager_test.go
@@ -23,12 +23,12 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// fixture is a record of rules and a rule file that tests change. The text of the file is the expression of its one
-// key.
+// fixture is the environment of a manager: a record of rules and a rule file, which tests modify. The text of the rule
+// file is the key expression of its only rule.
 type fixture struct {
 	tb           testing.TB
 	record       string // path
-	ruleFile     string // text
+	ruleFile     string // text; empty means no rules
 	capacity     int
 	keyRetention time.Duration
 }
@@ -70,11 +70,11 @@
 	return m
 }
 
-func input(id, a, bb string) rules.Input {
-	return rules.Input{ID: id, Class: "plain", Body: fmt.Appendf(nil, `{"a":%q,"b":%q}`, a, bb)}
+func input(id, a, b string) rules.Input {
+	return rules.Input{ID: id, Class: "plain", Body: fmt.Appendf(nil, `{"a":%q,"b":%q}`, a, b)}
 }
 
-// expectKey evaluates a message and checks its key; an empty key stands for a message that has to wait.
+// expectKey evaluates a message and checks its key. An empty key means that the message must wait.
 func expectKey(tb testing.TB, m *Manager, in rules.Input, key string) {
 	tb.Helper()
 	r, err := m.Evaluate(in)
@@ -91,9 +91,9 @@
 	m.ObserveCompletions([]admission.Observation{{Kind: admission.CallStarted, MessageID: id}, {Kind: admission.MessageCompleted, MessageID: id}})
 }
 
-// While a change is in progress no message overtakes an older one that uses its previous key. The change ends when
-// those have completed; of the rule sets that were offered meanwhile the newest follows.
-func TestChange(t *testing.T) {
+// During a change, a message waits while an older message uses its previous key; otherwise it could overtake that message.
+// The change completes when the older messages have completed. Of the rule sets loaded meanwhile, the last one follows.
+func TestChangeMessageWaitsForOlderUseOfPreviousKey(t *testing.T) {
 	f := newFixture(t, t.TempDir())
 	f.keyRetention = 0
 	m := f.start(true)
@@ -104,41 +104,42 @@
 		t.Fatal("got no change in progress, want one")
 	}
 	expectKey(t, m, input("2", "x", "q"), "")
-	expectKey(t, m, input("3", "q", "q"), "q") // the same key by both rule sets
-	expectKey(t, m, input("4", "y", "q"), "q") // no message has the previous key
+	expectKey(t, m, input("3", "q", "q"), "q") // both rule sets give the same key
+	expectKey(t, m, input("4", "y", "q"), "q") // no message uses the previous key
 	for _, next := range []string{`"c"`, `body.a + body.b`} {
 		f.ruleFile = next
 		testkit.Must(t, m.Reload())
 	}
-	testkit.Must(t, m.advance())
+	testkit.Must(t, m.advanceChange())
 	expectKey(t, m, input("2", "x", "q"), "")
 	complete(m, "1")
-	testkit.Must(t, m.advance())
-	expectKey(t, m, input("5", "x", "q"), "") // evaluated by the newest rule set already, and "4" uses q
+	testkit.Must(t, m.advanceChange())
+	expectKey(t, m, input("5", "x", "q"), "") // the last rule set is active, and message 4 uses the previous key q
 	complete(m, "3")
 	complete(m, "4")
-	testkit.Must(t, m.advance())
+	testkit.Must(t, m.advanceChange())
 	expectKey(t, m, input("5", "x", "q"), "xq")
 	if texts, err := readActiveRules(f.record); err != nil || m.ChangeInProgress() || len(texts) != 1 || texts[0] != f.ruleFile {
-		t.Errorf("got record %q, error %v, change in progress %t, want only %q and no change", texts, err, m.ChangeInProgress(), f.ruleFile)
+		t.Errorf("got record %q, error %v, change in progress %t, want a record with only %q and no change", texts, err, m.ChangeInProgress(), f.ruleFile)
 	}
 	if c := m.Counts(); c.Waits != 3 || c.Matched != 7 || c.Invalid != 0 || c.HighestCost == 0 {
-		t.Errorf("got %+v, want 3 waits, 7 matched, none invalid and a cost", c)
+		t.Errorf("got counts %+v, want 3 waits, 7 matched, 0 invalid and a highest cost above 0", c)
 	}
 }
 
-// A change waits only for keys of the classes that it affects.
+// A change waits only for keys of the classes that it affects. Otherwise keys of other classes with a long retention would
+// delay it.
 func TestChangeWaitsForAffectedClasses(t *testing.T) {
 	f := newFixture(t, t.TempDir())
 	m := f.start(true)
 	expectKey(t, m, input("1", "x", "p"), "x") // its key is in use for an hour after completion
 	f.ruleFile = "body.b"
 	testkit.Must(t, m.Reload())
-	testkit.Must(t, m.advance())
+	testkit.Must(t, m.advanceChange())
 	if !m.ChangeInProgress() {
 		t.Error("got the change completed while an older key is in use")
 	}
-	// Rules that do not give the class of the older message do not affect it.
+	// The change does not affect the class of the older message.
 	f = newFixture(t, t.TempDir())
 	f.ruleFile = ""
 	m = f.start(true)
@@ -147,14 +148,15 @@
 	}
 	f.ruleFile = "body.a"
 	testkit.Must(t, m.Reload())
-	testkit.Must(t, m.advance())
+	testkit.Must(t, m.advanceChange())
 	if m.ChangeInProgress() {
 		t.Error("got a change waiting for a class that it does not affect")
 	}
 }
 
-// A rule file that does not compile, or can't be persisted, changes nothing.
-func TestFailedReload(t *testing.T) {
+// A rule file that does not compile, or can't be persisted, changes nothing: the active rules still apply, and a later
+// Reload succeeds.
+func TestReloadFailureKeepsActiveRules(t *testing.T) {
 	f := newFixture(t, t.TempDir())
 	m := f.start(true)
 	f.ruleFile = "body.nothing"
@@ -166,7 +168,7 @@
 		disarm, err := failpoint.Set(point, func() error { return errors.New("the disk is full") })
 		testkit.Must(t, err)
 		if err := m.Reload(); err == nil || !strings.Contains(err.Error(), "the disk is full") {
-			t.Errorf("%s: got error %v, want the disk's", point, err)
+			t.Errorf("%s: got error %v, want the error of the failure point", point, err)
 		}
 		disarm()
 	}
@@ -178,15 +180,16 @@
 	expectKey(t, m, input("2", "y", "p"), "p")
 }
 
-// Rules are used only once they are persisted: at whichever failpoint a process crashes, the next one knows which rules
-// gave the keys that it finds.
-func TestCrashAtEachFailpoint(t *testing.T) {
+// Rules are used only after they are persisted. If a process crashes at a failure point of a change, the next process
+// reads from the record which rules gave the keys of unfinished messages, so no message overtakes an older one by getting
+// another key.
+func TestCrashDuringChangeKeepsRulesOfUnfinishedMessages(t *testing.T) {
 	points := failpoint.Names("ruling/")
 	if len(points) < 4 {
-		t.Fatalf("got failpoints %q, want at least 4", points)
+		t.Fatalf("got failure points %q, want at least 4", points)
 	}
 	for _, point := range points {
-		for _, keepsNewFile := range []bool{false, true} { // or the restarted process finds the previous rule file
+		for _, keepsNewFile := range []bool{false, true} { // false: the restarted process finds the previous rule file
 			t.Run(fmt.Sprintf("%s, new file %t", point, keepsNewFile), func(t *testing.T) {
 				f := newFixture(t, t.TempDir())
 				m := f.start(true)
@@ -201,74 +204,77 @@
 							t.Errorf("got panic %v, want %s", p, point)
 						}
 					}()
-					t.Errorf("got Reload returning %v, want a crash", m.Reload())
+					t.Errorf("Reload returned %v, want a crash", m.Reload())
 				}()
 				if !keepsNewFile {
 					f.ruleFile = "body.a"
 				}
-				// A new process finds the unfinished message and the record.
+				// A new process reads the unfinished message and the record.
 				restarted := f.start(false, &message.Message{ID: "1", Key: "x", Class: 0})
 				r, err := restarted.Evaluate(input("2", "x", "p"))
 				if err == nil && r.Key != "x" {
-					t.Errorf("got key %q beside an older message with x, want x or a wait", r.Key)
+					t.Errorf("got key %q while an older message has key x, want x or a wait", r.Key)
 				}
 			})
 		}
 	}
 }
 
-// After a restart the keys of unfinished messages are in use; so may be those of completed ones, for the key retention.
-func TestRestart(t *testing.T) {
+// After a restart the keys of unfinished messages are in use. Any other key may be in use until the key retention has
+// passed, since the keys of completed messages are not persisted.
+func TestRestartTreatsKeysOfEarlierProcessAsInUse(t *testing.T) {
 	f := newFixture(t, t.TempDir())
 	f.start(true)
 	unfinished := []*message.Message{{ID: "1", Key: "x", Class: 0}, {ID: "2", Key: "y", Class: 1}, {ID: "3", Key: "z", FinalResponse: &message.FinalResponse{}}}
 	f.ruleFile = "body.b"
 	m := f.start(false, unfinished...)
 	expectKey(t, m, input("4", "x", "p"), "")
-	expectKey(t, m, input("5", "u", "p"), "") // u may be in use
+	expectKey(t, m, input("5", "u", "p"), "") // a completed message may have used u
 	expectKey(t, m, input("6", "u", "u"), "u")
-	m.Adopt(unfinished[0]) // the second time has no effect
+	m.Adopt(unfinished[0]) // already adopted by Open
 	complete(m, "1")
-	expectKey(t, m, input("4", "x", "p"), "") // its key is in use for an hour
+	expectKey(t, m, input("4", "x", "p"), "") // the key x is in use for another hour
 	// At the first start no key is in use.
 	f = newFixture(t, t.TempDir())
 	expectKey(t, f.start(true), input("4", "x", "p"), "x")
 }
 
-// The log has counts of invalid and of waiting messages, and the place of an error without the message's content.
-func TestLogCounts(t *testing.T) {
+// The log contains the numbers of invalid and of waiting messages and the place of an error, but no content of a message.
+func TestLogCountsOmitsMessageContent(t *testing.T) {
 	f := newFixture(t, t.TempDir())
 	m := f.start(true)
 	var out strings.Builder
-	noTime := func(_ []string, a slog.Attr) slog.Attr { // its digits may equal those of the message
+	omitTime := func(_ []string, a slog.Attr) slog.Attr { // the time may contain the digits of the message
 		if a.Key == slog.TimeKey {
 			return slog.Attr{}
 		}
 		return a
 	}
-	m.config.Log = slog.New(slog.NewTextHandler(&out, &slog.HandlerOptions{ReplaceAttr: noTime}))
-	logged := m.logCounts(Counts{})
+	m.config.Log = slog.New(slog.NewTextHandler(&out, &slog.HandlerOptions{ReplaceAttr: omitTime}))
+	lastLogged := m.logCounts(Counts{})
 	if _, err := m.Evaluate(rules.Input{ID: "1", Class: "plain", Body: []byte(`{"a":"secret","b":77}`)}); err == nil {
 		t.Error("got no error for an invalid message")
 	}
 	expectKey(t, m, input("2", "x", "p"), "x")
 	expectKey(t, m, input("2", "x", "p"), "")
-	logged = m.logCounts(logged)
+	lastLogged = m.logCounts(lastLogged)
 	for _, want := range []string{"invalid=1 evaluated=3 last_place=body.b", "waits=1 evaluated=3"} {
 		if !strings.Contains(out.String(), want) {
-			t.Errorf("got log %q, want %q in it", out.String(), want)
+			t.Errorf("got log %q, want it to contain %q", out.String(), want)
 		}
 	}
 	if strings.Contains(out.String(), "secret") || strings.Contains(out.String(), "77") {
-		t.Errorf("got log %q, want nothing of the message's content", out.String())
+		t.Errorf("got log %q, want none of the message's content", out.String())
 	}
 	out.Reset()
-	if m.logCounts(logged); out.Len() > 0 {
-		t.Errorf("got log %q, want no line twice", out.String())
+	if m.logCounts(lastLogged); out.Len() > 0 {
+		t.Errorf("got log %q, want no output for unchanged counts", out.String())
 	}
 }
 
-func TestDamagedRecord(t *testing.T) {
+// A record that is corrupt, has another version or does not compile is an error. Opening without it would lose the rules
+// that gave the keys of earlier messages.
+func TestOpenInvalidRecordReturnsError(t *testing.T) {
 	f := newFixture(t, t.TempDir())
 	f.start(true)
 	good, err := os.ReadFile(f.record)
@@ -276,22 +282,23 @@
 	for _, text := range []string{"", "{}", strings.Replace(string(good), "body.a", "body.b", 1), strings.Replace(string(good), `"form":1`, `"form":2`, 1)} {
 		testkit.Must(t, os.WriteFile(f.record, []byte(text), 0o600))
 		if _, err := f.open(false); err == nil || !strings.Contains(err.Error(), f.record) {
-			t.Errorf("%q: got error %v, want one with the path", text, err)
+			t.Errorf("%q: got error %v, want an error with the path of the record", text, err)
 		}
 	}
-	// A text that does not compile with the present classes.
+	// The rules in the record do not compile with the current classes.
 	testkit.Must(t, writeActiveRules(f.record, []string{"body.nothing"}))
-	if _, err := f.open(false); err == nil || !strings.Contains(err.Error(), "do not fit") {
-		t.Errorf("got error %v, want that the rules do not fit", err)
+	if _, err := f.open(false); err == nil || !strings.Contains(err.Error(), "do not compile with this configuration") {
+		t.Errorf("got error %v, want one that the rules do not compile with the configuration", err)
 	}
 }
 
-func TestRelease(t *testing.T) {
+// The key of a message that was not accepted is free at once; the key of one that may have been accepted stays in use.
+func TestReleaseFreesKeyAndReleaseUncertainKeepsIt(t *testing.T) {
 	f := newFixture(t, t.TempDir())
 	f.keyRetention = 0
 	m := f.start(true)
 	expectKey(t, m, input("1", "x", "p"), "x")
-	expectKey(t, m, input("1", "x", "p"), "") // it is being accepted
+	expectKey(t, m, input("1", "x", "p"), "") // message 1 is being accepted
 	m.Release("1")
 	expectKey(t, m, input("2", "y", "p"), "y")
 	m.ReleaseUncertain("2", time.Now().Add(time.Hour))
@@ -301,16 +308,17 @@
 	expectKey(t, m, input("4", "y", "p"), "")
 }
 
-// Evaluations, completions and changes run concurrently, for the race detector; the last change completes.
-func TestConcurrency(t *testing.T) {
+// Evaluations, completions and changes run concurrently, which lets the race detector find unguarded state. The last
+// change completes.
+func TestConcurrentUseCompletesLastChange(t *testing.T) {
 	f := newFixture(t, t.TempDir())
 	f.keyRetention = 0
 	m := f.start(true)
-	var work sync.WaitGroup
-	for w := range 4 {
-		work.Go(func() {
+	var clients sync.WaitGroup
+	for client := range 4 {
+		clients.Go(func() {
 			for i := range 200 {
-				id := fmt.Sprint(w, "-", i)
+				id := fmt.Sprint(client, "-", i)
 				if _, err := m.Evaluate(input(id, fmt.Sprint("a", i%7), fmt.Sprint("b", i%5))); err == nil {
 					complete(m, id)
 				}
@@ -320,21 +328,21 @@
 	for i := range 20 {
 		f.ruleFile = []string{"body.a", "body.b"}[i%2]
 		testkit.Must(t, m.Reload())
-		testkit.Must(t, m.advance())
+		testkit.Must(t, m.advanceChange())
 	}
-	work.Wait()
-	testkit.Must(t, m.advance())
-	testkit.Must(t, m.advance())
+	clients.Wait()
+	testkit.Must(t, m.advanceChange())
+	testkit.Must(t, m.advanceChange())
 	if m.ChangeInProgress() {
 		t.Error("got a change in progress without unfinished messages")
 	}
 }
 
-// An oracle remembers every unfinished message with the rules that it was evaluated by: no message is accepted while
-// an older one is unfinished that has the same key by the older one's rules, unless it gets that key. The process
-// restarts at any time.
+// A message can overtake an older unfinished message if the rules of the older message would give both the same key, but
+// the current rules give the newer one another key. The test records every unfinished message with its rules, and checks
+// that no such message is accepted across changes and restarts.
 func TestOrderAcrossChangesAndRestarts(t *testing.T) {
-	waits, accepted := 0, 0
+	waits, acceptedCount := 0, 0
 	rapid.Check(t, func(t *rapid.T) {
 		dir, err := os.MkdirTemp("", "ruleset")
 		if err != nil {
@@ -345,38 +353,39 @@
 		f.keyRetention = 0
 		type acceptedMessage struct {
 			m    *message.Message
-			rule string // that gave its key
-			a, b string
+			rule string // rule file that gave its key
+			a, b string // fields of its body
 		}
-		open := map[string]acceptedMessage{}
+		unfinished := map[string]acceptedMessage{}
 		rule := f.ruleFile
 		m, err := f.open(true)
 		if err != nil {
 			t.Fatal(err)
 		}
-		key := func(rule, x, y string) string {
+		key := func(rule, a, b string) string {
 			switch rule {
 			case "body.a":
-				return x
+				return a
 			case "body.b":
-				return y
+				return b
 			}
-			return x + y
+			return a + b
 		}
 		for i := range rapid.IntRange(1, 60).Draw(t, "steps") {
 			switch rapid.SampledFrom([]string{"submit", "submit", "submit", "complete", "reload", "advance", "restart"}).Draw(t, "op") {
 			case "submit":
-				x, y := rapid.SampledFrom([]string{"p", "q"}).Draw(t, "a"), rapid.SampledFrom([]string{"p", "q", "r"}).Draw(t, "b")
+				a, b := rapid.SampledFrom([]string{"p", "q"}).Draw(t, "a"), rapid.SampledFrom([]string{"p", "q", "r"}).Draw(t, "b")
 				id := fmt.Sprint(i)
-				r, err := m.Evaluate(input(id, x, y))
+				r, err := m.Evaluate(input(id, a, b))
 				if err != nil {
 					waits++
 					continue
 				}
-				accepted++
-				for _, o := range open {
-					if key(o.rule, x, y) == o.m.Key && r.Key != o.m.Key {
-						t.Fatalf("%s: got key %q beside %s with %q by the rule %s, want the same key or a wait", id, r.Key, o.m.ID, o.m.Key, o.rule)
+				acceptedCount++
+				for _, older := range unfinished {
+					if key(older.rule, a, b) == older.m.Key && r.Key != older.m.Key {
+						t.Fatalf("%s: got key %q while %s is unfinished with key %q by rule %s, want the same key or a wait",
+							id, r.Key, older.m.ID, older.m.Key, older.rule)
 					}
 				}
 				for _, candidate := range []string{"body.a", "body.b", "body.a + body.b"} {
@@ -384,11 +393,11 @@
 						rule = candidate
 					}
 				}
-				open[id] = acceptedMessage{&message.Message{ID: id, Key: r.Key, Class: 0}, rule, x, y}
+				unfinished[id] = acceptedMessage{&message.Message{ID: id, Key: r.Key, Class: 0}, rule, a, b}
 			case "complete":
-				for id := range open {
+				for id := range unfinished {
 					complete(m, id)
-					delete(open, id)
+					delete(unfinished, id)
 					break
 				}
 			case "reload":
@@ -397,27 +406,27 @@
 					t.Fatal(err)
 				}
 			case "advance":
-				if err := m.advance(); err != nil {
+				if err := m.advanceChange(); err != nil {
 					t.Fatal(err)
 				}
 			case "restart":
-				var unfinished []*message.Message
-				for _, o := range open {
-					unfinished = append(unfinished, o.m)
+				var messages []*message.Message
+				for _, u := range unfinished {
+					messages = append(messages, u.m)
 				}
-				if m, err = f.open(false, unfinished...); err != nil {
+				if m, err = f.open(false, messages...); err != nil {
 					t.Fatal(err)
 				}
 			}
 		}
 	})
-	t.Logf("%d accepted, %d had to wait", accepted, waits)
+	t.Logf("%d messages accepted, %d had to wait", acceptedCount, waits)
 	if waits == 0 {
-		t.Error("got no message that had to wait, want some")
+		t.Error("no message had to wait, want some")
 	}
 }
 
-// noTB is the testing.TB of fixtures whose errors are checked by the caller.
+// noTB is the testing.TB of a fixture whose caller checks the errors.
 type noTB struct{ testing.TB }
 
 // Helper implements [testing.TB].
