--- a/decide/rollout/key.go
+++ b/decide/rollout/key.go
@@ -9,8 +9,8 @@
 // such key.
 type KeyHash uint64
 
-// Kind identifies the guarantees that apply to a key. A rollout affects keys of some kinds, and ends when no key of these
-// kinds is in use by an older message.
+// Kind identifies the guarantees that apply to a key. A rollout affects keys of some kinds, and ends when no key of
+// these kinds is in use by an older message.
 type Kind uint8
 
 // KindCount is the number of kinds.
--- a/decide/rollout/ledger.go
+++ b/decide/rollout/ledger.go
@@ -2,9 +2,9 @@
 // under the previous one are unfinished. It does no I/O, reads no clock and starts no goroutines.
 //
 // A message whose class guarantees something about keys has a [KeyHash]. During a rollout, a new message whose hash
-// differs from the one that the previous rules give it is admitted only if no message of an earlier generation uses that
-// previous hash. A [Ledger] records the hashes in use. It guarantees that a hash in use is never treated as free, and that
-// every hash eventually becomes free.
+// differs from the one that the previous rules give it is admitted only if no message of an earlier generation uses
+// that previous hash. A [Ledger] records the hashes in use. It guarantees that a hash in use is never treated as free,
+// and that every hash eventually becomes free.
 //
 // A Ledger is not safe for concurrent use. Start reading at [Ledger.Admit].
 package rollout
@@ -57,8 +57,8 @@
 }
 
 // New returns a ledger with capacity for limit messages and limit keys. At the limit Admit returns Full, while Adopt
-// exceeds it. recovered is the time until which hashes of an earlier process, whose messages completed before time 0, may
-// be in use, by kind.
+// exceeds it. recovered is the time until which hashes of an earlier process, whose messages completed before time 0,
+// may be in use, by kind.
 func New(limit int, recovered [KindCount]time.Duration) *Ledger {
 	return &Ledger{limit: max(1, limit), entries: map[string]entry{}, keys: map[KeyHash]*keyState{}, recovered: recovered}
 }
@@ -73,9 +73,9 @@
 	delete(l.keys, key.hash)
 }
 
-// getOrCreateKey returns the state of a key, which it creates if the key is not in the ledger. At the limit it evicts the
-// key without an unfinished message that becomes free first. Until that time, any hash that is not in the ledger may be in
-// use. There is always capacity for keys with unfinished messages, since messages have the same limit.
+// getOrCreateKey returns the state of a key, which it creates if the key is not in the ledger. At the limit it evicts
+// the key without an unfinished message that becomes free first. Until that time, any hash that is not in the ledger
+// may be in use. There is always capacity for keys with unfinished messages, since messages have the same limit.
 func (l *Ledger) getOrCreateKey(hash KeyHash, kind Kind) *keyState {
 	if key := l.keys[hash]; key != nil {
 		return key
@@ -133,8 +133,8 @@
 	return Admitted, 0
 }
 
-// Adopt adds a message that was accepted earlier, by this process or another one. During a rollout the message is assigned
-// to the previous generation. Adopt has no effect if the message is already in the ledger.
+// Adopt adds a message that was accepted earlier, by this process or another one. During a rollout the message is
+// assigned to the previous generation. Adopt has no effect if the message is already in the ledger.
 func (l *Ledger) Adopt(now time.Duration, id string, claim Claim) {
 	l.expire(now)
 	if _, known := l.entries[id]; known {
@@ -178,8 +178,9 @@
 // Release removes a message that was not accepted. It ends the message's use of its key at once.
 func (l *Ledger) Release(now time.Duration, id string) { l.remove(now, id, 0) }
 
-// ReleaseUncertain removes a message that may have been accepted. Its key stays in use until the message's deadline, and
-// for the Retention of its claim after that. If the message was accepted, [Ledger.Adopt] adds it to the ledger again.
+// ReleaseUncertain removes a message that may have been accepted. Its key stays in use until the message's deadline,
+// and for the Retention of its claim after that. If the message was accepted, [Ledger.Adopt] adds it to the ledger
+// again.
 func (l *Ledger) ReleaseUncertain(now time.Duration, id string, deadline time.Duration) {
 	if e, ok := l.entries[id]; ok {
 		l.remove(now, id, deadline+e.Retention)
@@ -213,9 +214,9 @@
 	l.deleteKey(key)
 }
 
-// Begin starts a rollout: all messages and keys in the ledger become part of an earlier generation. kinds are the kinds of
-// the keys that the rules change: the caller may give [Ledger.Admit] a previous claim that differs from the current one
-// only if its kind is one of these. Begin returns false and changes nothing if a rollout is in progress.
+// Begin starts a rollout: all messages and keys in the ledger become part of an earlier generation. kinds are the kinds
+// of the keys that the rules change: the caller may give [Ledger.Admit] a previous claim that differs from the current
+// one only if its kind is one of these. Begin returns false and changes nothing if a rollout is in progress.
 func (l *Ledger) Begin(now time.Duration, kinds ...Kind) bool {
 	l.expire(now)
 	if l.InProgress(now) {
@@ -236,8 +237,8 @@
 	return true
 }
 
-// InProgress reports whether a rollout is in progress: a key of an affected kind is, or may be, in use by a message of an
-// earlier generation.
+// InProgress reports whether a rollout is in progress: a key of an affected kind is, or may be, in use by a message of
+// an earlier generation.
 func (l *Ledger) InProgress(now time.Duration) bool {
 	l.rollout.inProgress = l.rollout.inProgress && (l.rollout.unfinished > 0 || l.lastKeyFreeAt() > now)
 	return l.rollout.inProgress
@@ -255,8 +256,8 @@
 	return last
 }
 
-// Remaining returns the number of unfinished messages of earlier generations whose keys the rollout affects, and the time
-// by which all other keys that it affects are free.
+// Remaining returns the number of unfinished messages of earlier generations whose keys the rollout affects, and the
+// time by which all other keys that it affects are free.
 func (l *Ledger) Remaining() (unfinished int, until time.Duration) {
 	return l.rollout.unfinished, l.lastKeyFreeAt()
 }
--- a/decide/rollout/ledger_test.go
+++ b/decide/rollout/ledger_test.go
@@ -111,8 +111,8 @@
 	expectAdmit(t, l, 2*second, "c", 3, 1, Conflict, 10*second)
 }
 
-// A rollout completes when no key of an affected kind is in use by an older message. Keys of other kinds do not delay it,
-// but are still in use in the next rollout.
+// A rollout completes when no key of an affected kind is in use by an older message. Keys of other kinds do not delay
+// it, but are still in use in the next rollout.
 func TestRolloutWaitsOnlyForAffectedKinds(t *testing.T) {
 	l := New(10, [KindCount]time.Duration{1: 20 * second})
 	l.Admit(0, "a", Claim{1, 12 * second, 1}, Claim{})
--- a/decide/rules/compile_message.go
+++ b/decide/rules/compile_message.go
@@ -48,7 +48,7 @@
 func (ec *expressionCompiler) addIdentity(identity IdentitySpec, owners map[string]string, report reportFunc) {
 	where := fmt.Sprintf("identity %q", identity.Name)
 	if !wordName.MatchString(identity.Name) {
-		report(where, "name: must be a letter, followed by letters, digits, _ and -")
+		report(where, "name: must be a letter, followed by at most 31 letters, digits, _ and -")
 	}
 	if owner, exists := owners[identity.Name]; exists {
 		report(where, "already declared for message %q", owner)
--- a/decide/rules/compile_rule.go
+++ b/decide/rules/compile_rule.go
@@ -38,8 +38,8 @@
 }
 
 // possibleClasses returns the possible values of a class expression. They must be known at compile time, so the
-// expression must be a literal string, msg.class, or a conditional expression of these. possibleClasses returns false if
-// it reported an error.
+// expression must be a literal string, msg.class, or a conditional expression of these. possibleClasses returns false
+// if it reported an error.
 func (c *compiler) possibleClasses(expression *ast.AST, clientClass string, report reportFunc) ([]string, bool) {
 	var classes []string
 	for _, branch := range branches(expression.Expr()) {
--- a/decide/rules/cost.go
+++ b/decide/rules/cost.go
@@ -28,7 +28,8 @@
 	intChars, doubleChars, boolChars = 20, 32, 5
 	// charsPerUnit is the number of characters that can be read at a cost of one unit.
 	charsPerUnit = 10
-	// keyBytesPerChar is the maximum number of bytes of a character in a key: four bytes in UTF-8, each escaped to three.
+	// keyBytesPerChar is the maximum number of bytes of a character in a key: four bytes in UTF-8, each escaped to
+	// three.
 	keyBytesPerChar = 12
 	// keyCallCost is the cost of a call of key, in cost units, to which the costs of its arguments are added.
 	keyCallCost = 10
@@ -98,8 +99,8 @@
 	return saturatingAdd(1, readCost(saturatingMultiply(saturatingAdd(1, sizes[0]), sizes[1]))), 1
 }
 
-// indexCost is the cost of indexing a list. During evaluation the library counts one unit for it, and another one if the
-// operand is not a variable. The library itself determines the size of the item.
+// indexCost is the cost of indexing a list. During evaluation the library counts one unit for it, and another one if
+// the operand is not a variable. The library itself determines the size of the item.
 func indexCost([]uint64) (cost, resultSize uint64) { return 2, infinite }
 
 // keyCost is the cost of the function key: each part is escaped, and the result may be hashed.
--- a/decide/rules/cost_test.go
+++ b/decide/rules/cost_test.go
@@ -188,8 +188,8 @@
 	}
 }
 
-// The library's own cost functions count more than they estimate for a call with an argument whose evaluation failed, and
-// for an index into an expression that is not a variable. The functions of this package must not.
+// The library's own cost functions count more than they estimate for a call with an argument whose evaluation failed,
+// and for an index into an expression that is not a variable. The functions of this package must not.
 func TestEvaluateFailedArgumentOrIndexStaysWithinCostBound(t *testing.T) {
 	fields := []FieldSpec{{Name: "s", Type: "string"}, {Name: "ss", Type: "list(string)"}}
 	for _, when := range []string{
--- a/decide/rules/decode.go
+++ b/decide/rules/decode.go
@@ -113,7 +113,8 @@
 	return err
 }
 
-// readMember reads the value of a member: a declared field, an object that contains declared fields, or a value to skip.
+// readMember reads the value of a member: a declared field, an object that contains declared fields, or a value to
+// skip.
 func (r *bodyReader) readMember(name string, depth int) error {
 	f := r.body.field(name)
 	if f == nil && !r.body.objects[name] {
@@ -253,7 +254,8 @@
 	if n := utf8.RuneCountInString(text); n > f.maxChars {
 		return nil, f.invalid(fmt.Sprintf("%d characters, more than %d", n, f.maxChars))
 	}
-	// The decoder replaces an escape that is not a valid character with U+FFFD, so different strings would become equal.
+	// The decoder replaces an escape that is not a valid character with U+FFFD, so different strings would become
+	// equal.
 	if strings.ContainsRune(text, utf8.RuneError) {
 		return nil, f.invalid("it holds U+FFFD")
 	}
--- a/decide/rules/evaluate.go
+++ b/decide/rules/evaluate.go
@@ -27,8 +27,8 @@
 // unchanged returns the result for a message that keeps the class and the key of its client.
 func unchanged(in Input) Result { return Result{Class: in.Class, Key: in.Key, Rule: NoRule} }
 
-// evaluate returns the result of the first rule that matches. After an error the result contains the cost so far and, if
-// the class or the key of a matched rule failed, the index of that rule.
+// evaluate returns the result of the first rule that matches. After an error the result contains the cost so far and,
+// if the class or the key of a matched rule failed, the index of that rule.
 func (k *messageKind) evaluate(in Input) (Result, error) {
 	e := evaluation{result: unchanged(in)}
 	if k.computesKeys && strings.HasPrefix(in.Key, computedKeyPrefix) {
--- a/decide/rules/key.go
+++ b/decide/rules/key.go
@@ -36,8 +36,8 @@
 	return key.String()[:tagEnd] + "#" + hex.EncodeToString(hash[:])
 }
 
-// writeEscaped writes s. Every byte other than a letter, a digit, '.', '_' and '-' is written as '%' and two hexadecimal
-// digits.
+// writeEscaped writes s. Every byte other than a letter, a digit, '.', '_' and '-' is written as '%' and two
+// hexadecimal digits.
 func writeEscaped(b *strings.Builder, s string) {
 	const digits = "0123456789ABCDEF"
 	for i := range len(s) {
--- a/decide/rules/rules.go
+++ b/decide/rules/rules.go
@@ -57,7 +57,7 @@
 // key has the form of a computed key, or a rule failed or returned an invalid key.
 type InvalidMessageError struct {
 	Place  string // in the body or in the rules, or Idempotency-Key
-	Reason string
+	Reason string // sent to the client
 	Cost   uint64 // cost units used up to the error
 	// reservedKey means that the client's key has the form of a computed key. Such a message is rejected even with
 	// AcceptInvalid, since its key could collide with a computed key.
@@ -132,8 +132,8 @@
 	Bound       uint64 // cost units
 }
 
-// CostBreakdown returns the cost bounds of the parts of each kind's evaluation, and then of the whole evaluation, in the
-// order of the file.
+// CostBreakdown returns the cost bounds of the parts of each kind's evaluation, and then of the whole evaluation, in
+// the order of the file.
 func (s *Set) CostBreakdown() []CostItem {
 	var items []CostItem
 	for _, m := range s.spec.Messages {
--- a/decide/rules/rules_test.go
+++ b/decide/rules/rules_test.go
@@ -104,8 +104,8 @@
 	}
 }
 
-// AcceptInvalid keeps the class and key of an invalid message, except if the client's key has the form of a computed key:
-// it could collide with one.
+// AcceptInvalid keeps the class and key of an invalid message, except if the client's key has the form of a computed
+// key: it could collide with one.
 func TestAcceptInvalidKeepsClientValuesButRejectsReservedKey(t *testing.T) {
 	s := validSpec()
 	s.OnInvalid = AcceptInvalid
@@ -265,8 +265,8 @@
 	}
 }
 
-// ChangedClasses returns exactly the kinds of message for which two sets may give different results. A missing kind would
-// break key guarantees during a change of rules, and an additional one would make messages wait.
+// ChangedClasses returns exactly the kinds of message for which two sets may give different results. A missing kind
+// would break key guarantees during a change of rules, and an additional one would make messages wait.
 func TestChangedClassesReturnsKindsWithDifferentResults(t *testing.T) {
 	base := compile(t, validSpec())
 	for _, c := range []struct {
--- a/decide/rules/spec.go
+++ b/decide/rules/spec.go
@@ -18,7 +18,7 @@
 
 // Values of [Spec.OnInvalid]: the treatment of a message that can't be evaluated, see [InvalidMessageError].
 const (
-	RejectInvalid = "refuse" // the message is rejected before it is accepted
+	RejectInvalid = "refuse" // the message is not accepted
 	AcceptInvalid = "keep"   // the message is accepted with the class and key that its client gave
 )
 
--- a/internal/ruleset/change.go
+++ b/internal/ruleset/change.go
@@ -8,8 +8,8 @@
 	"wingmount/internal/failpoint"
 )
 
-// Failure points before, during and after the write of a change's record. Tests arm them by these names, which are older
-// than the package's name.
+// Failure points before, during and after the write of a change's record. Tests arm them by these names, which are
+// older than the package's name.
 var (
 	beforeRecord = failpoint.New("ruling/before-record")
 	afterWrite   = failpoint.New("ruling/after-write")
@@ -26,9 +26,9 @@
 	return m.previous != nil
 }
 
-// Reload reads the rule file again and starts a change to its rules. If a change is in progress, the new one starts when
-// that one has completed. An error means that the file can't be read, does not compile or can't be persisted; the active
-// rules are then unchanged.
+// Reload reads the rule file again and starts a change to its rules. If a change is in progress, the new one starts
+// when that one has completed. If the file can't be read, does not compile or can't be persisted, Reload returns an
+// error and changes nothing.
 func (m *Manager) Reload() error {
 	loaded, text, err := m.config.Load()
 	if err != nil {
@@ -68,8 +68,8 @@
 	}
 }
 
-// queueChange replaces the pending rule set. It returns false if the set is the active one, so that no change is pending.
-// The caller holds mu.
+// queueChange replaces the pending rule set. It returns false if the set is the active one, so that no change is
+// pending. The caller holds mu.
 func (m *Manager) queueChange(set ruleSet) bool {
 	if set.text == m.active.text {
 		m.pending = nil
@@ -103,8 +103,8 @@
 	return afterSwitch.At()
 }
 
-// beginRollout begins the rollout from previous to active in the ledger. It returns false if the ledger has a rollout in
-// progress. The caller holds mu.
+// beginRollout begins the rollout from previous to active in the ledger. It returns false if the ledger has a rollout
+// in progress. The caller holds mu.
 func (m *Manager) beginRollout(now time.Duration) bool {
 	var kinds []rollout.Kind
 	changed := map[string]bool{}
@@ -121,8 +121,8 @@
 	return true
 }
 
-// completeChange completes the change in progress if no older message uses an affected key any longer. It reports whether
-// it completed one.
+// completeChange completes the change in progress if no older message uses an affected key any longer. It reports
+// whether it completed one.
 func (m *Manager) completeChange() bool {
 	now := m.lockAndDrain()
 	defer m.mu.Unlock()
--- a/internal/ruleset/evaluate.go
+++ b/internal/ruleset/evaluate.go
@@ -12,8 +12,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// WaitError rejects a message temporarily: accepting it now could break a guarantee about its key, or the ledger is full.
-// The client may submit the message again after RetryAfter.
+// WaitError rejects a message temporarily: accepting it now could break a guarantee about its key, or the ledger is
+// full. The client may submit the message again after RetryAfter.
 type WaitError struct {
 	RetryAfter time.Duration
 	Reason     string // sent to the client
@@ -80,9 +80,10 @@
 	return now
 }
 
-// Evaluate returns the class and key that the active rules give a message, and adds the message to the ledger. The message
-// stays there until it completes, or until [Manager.Release] or [Manager.ReleaseUncertain] is called. The error is a
-// [*rules.InvalidMessageError] or a [*WaitError]; the message is then not in the ledger, unless an earlier call added it.
+// Evaluate returns the class and key that the active rules give a message, and adds the message to the ledger. The
+// message stays there until it completes, or until [Manager.Release] or [Manager.ReleaseUncertain] is called. The error
+// is a [*rules.InvalidMessageError] or a [*WaitError]; the message is then not in the ledger, unless an earlier call
+// added it.
 func (m *Manager) Evaluate(in rules.Input) (rules.Result, error) {
 	for range maxEvaluationAttempts {
 		result, rulesChanged, err := m.tryEvaluate(in)
@@ -104,7 +105,8 @@
 	result, err = active.Evaluate(in)
 	previousClaim := rollout.Claim{}
 	if err == nil && affected {
-		// The previous rules give no key to a message that they reject, so it has no key in common with an older message.
+		// The previous rules give no key to a message that they reject, so it has no key in common with an older
+		// message.
 		if previousResult, err := previous.Evaluate(in); err == nil {
 			previousClaim = m.claim(previousResult.Class, previousResult.Key)
 		}
@@ -177,7 +179,8 @@
 	m.ledger.Adopt(now, adopted.ID, m.claim(className, adopted.Key))
 }
 
-// ObserveCompletions records the completed messages for the ledger. It does not lock mu, so evaluations do not delay it.
+// ObserveCompletions records the completed messages for the ledger. It does not lock mu, so evaluations do not delay
+// it.
 func (m *Manager) ObserveCompletions(observations []admission.Observation) {
 	m.completions.Lock()
 	defer m.completions.Unlock()
--- a/internal/ruleset/manager.go
+++ b/internal/ruleset/manager.go
@@ -1,5 +1,5 @@
-// Package ruleset manages the active rule set: it evaluates messages with it, changes it while messages are in flight, and
-// persists it.
+// Package ruleset manages the active rule set: it evaluates messages with it, changes it while messages are in flight,
+// and persists it.
 //
 // The package guarantees:
 //   - no message is evaluated by rules that are not persisted;
@@ -23,9 +23,9 @@
 )
 
 const (
-	// defaultLedgerCapacity is the maximum number of messages in flight in the ledger, and of keys. A message above it is
-	// rejected (rollout.Full), even if no change is in progress and the node's own limit is higher. A key above it is
-	// evicted, which only makes messages wait during a change.
+	// defaultLedgerCapacity is the maximum number of messages in flight in the ledger, and of keys. A message above it
+	// is rejected (rollout.Full), even if no change is in progress and the node's own limit is higher. A key above it
+	// is evicted, which only makes messages wait during a change.
 	defaultLedgerCapacity = 1 << 17
 	// changeCheckInterval is how often the manager checks whether a change has completed.
 	changeCheckInterval = 250 * time.Millisecond
@@ -61,7 +61,8 @@
 	Waits     uint64 // rejected with a [WaitError] by the ledger
 	// HighestCost is the highest cost of evaluating one message, in cost units.
 	HighestCost uint64
-	// LastInvalidPlace is the place of the error in the last invalid message. It contains nothing of the message's content.
+	// LastInvalidPlace is the place of the error in the last invalid message. It contains nothing of the message's
+	// content.
 	LastInvalidPlace string
 }
 
@@ -130,8 +131,8 @@
 	return m, m.requestChange(file)
 }
 
-// recoveredKeyRetention returns how long keys of an earlier process may be in use, by kind: the longest key retention of
-// the kind's classes, or 0 if there was no earlier process.
+// recoveredKeyRetention returns how long keys of an earlier process may be in use, by kind: the longest key retention
+// of the kind's classes, or 0 if there was no earlier process.
 func recoveredKeyRetention(c Config, hasRecord bool) [rollout.KindCount]time.Duration {
 	var retention [rollout.KindCount]time.Duration
 	if c.FirstStart && !hasRecord {
--- a/internal/ruleset/manager_test.go
+++ b/internal/ruleset/manager_test.go
@@ -91,8 +91,9 @@
 	m.ObserveCompletions([]admission.Observation{{Kind: admission.CallStarted, MessageID: id}, {Kind: admission.MessageCompleted, MessageID: id}})
 }
 
-// During a change, a message waits while an older message uses its previous key; otherwise it could overtake that message.
-// The change completes when the older messages have completed. Of the rule sets loaded meanwhile, the last one follows.
+// During a change, a message waits while an older message uses its previous key; otherwise it could overtake that
+// message. The change completes when the older messages have completed. Of the rule sets loaded meanwhile, the last one
+// follows.
 func TestChangeMessageWaitsForOlderUseOfPreviousKey(t *testing.T) {
 	f := newFixture(t, t.TempDir())
 	f.keyRetention = 0
@@ -127,8 +128,8 @@
 	}
 }
 
-// A change waits only for keys of the classes that it affects. Otherwise keys of other classes with a long retention would
-// delay it.
+// A change waits only for keys of the classes that it affects. Otherwise keys of other classes with a long retention
+// would delay it.
 func TestChangeWaitsForAffectedClasses(t *testing.T) {
 	f := newFixture(t, t.TempDir())
 	m := f.start(true)
@@ -181,8 +182,8 @@
 }
 
 // Rules are used only after they are persisted. If a process crashes at a failure point of a change, the next process
-// reads from the record which rules gave the keys of unfinished messages, so no message overtakes an older one by getting
-// another key.
+// reads from the record which rules gave the keys of unfinished messages, so no message overtakes an older one by
+// getting another key.
 func TestCrashDuringChangeKeepsRulesOfUnfinishedMessages(t *testing.T) {
 	points := failpoint.Names("ruling/")
 	if len(points) < 4 {
@@ -239,7 +240,8 @@
 	expectKey(t, f.start(true), input("4", "x", "p"), "x")
 }
 
-// The log contains the numbers of invalid and of waiting messages and the place of an error, but no content of a message.
+// The log contains the numbers of invalid and of waiting messages and the place of an error, but no content of a
+// message.
 func TestLogCountsOmitsMessageContent(t *testing.T) {
 	f := newFixture(t, t.TempDir())
 	m := f.start(true)
@@ -272,8 +274,8 @@
 	}
 }
 
-// A record that is corrupt, has another version or does not compile is an error. Opening without it would lose the rules
-// that gave the keys of earlier messages.
+// A record that is corrupt, has another version or does not compile is an error. Opening without it would lose the
+// rules that gave the keys of earlier messages.
 func TestOpenInvalidRecordReturnsError(t *testing.T) {
 	f := newFixture(t, t.TempDir())
 	f.start(true)
@@ -338,9 +340,9 @@
 	}
 }
 
-// A message can overtake an older unfinished message if the rules of the older message would give both the same key, but
-// the current rules give the newer one another key. The test records every unfinished message with its rules, and checks
-// that no such message is accepted across changes and restarts.
+// A message can overtake an older unfinished message if the rules of the older message would give both the same key,
+// but the current rules give the newer one another key. The test records every unfinished message with its rules, and
+// checks that no such message is accepted across changes and restarts.
 func TestOrderAcrossChangesAndRestarts(t *testing.T) {
 	waits, acceptedCount := 0, 0
 	rapid.Check(t, func(t *rapid.T) {
--- a/internal/ruleset/record.go
+++ b/internal/ruleset/record.go
@@ -68,8 +68,8 @@
 	return r.Texts, nil
 }
 
-// writeActiveRules replaces the record. The new record is durable when writeActiveRules returns nil. After an error or a
-// crash the file is either the old or the new record.
+// writeActiveRules replaces the record. The new record is durable when writeActiveRules returns nil. After an error or
+// a crash the file is either the old or the new record.
 func writeActiveRules(path string, texts []string) error {
 	content, err := json.Marshal(record{Version: recordVersion, Texts: texts, Checksum: checksum(texts)})
 	if err == nil {
