--- a/cmd/wingmount/rules_test.go
+++ b/cmd/wingmount/rules_test.go
@@ -39,7 +39,7 @@
 	}{
 		{"good rules", []string{"check", "--rules", sample}, "", "1 rules, 556 units at most", ""},
 		{"no rules", []string{"check"}, "", "", "names no file of rules"},
-		{"too costly", []string{"check", "--rules", loops}, "", "", `message "meter-message": its rules may cost`},
+		{"too costly", []string{"check", "--rules", loops}, "", "", `message "meter-message": evaluating its rules may cost`},
 		{"unknown key", []string{"check", "--rules", typo}, "", "", "unknown key"},
 		{"type error", []string{"check", "--rules", wrong}, "", "", `rule 1 ("a reading is known by its meter and time"), when, line 1, column 25: found no matching overload for '_==_' applied to '(string, int)'`},
 		{"no such file", []string{"check", "--rules", dir + "/nothing"}, "", "", "reading the rules"},
--- a/internal/ruleset/evaluate.go
+++ b/internal/ruleset/evaluate.go
@@ -148,14 +148,14 @@
 	return &WaitError{RetryAfter: min(max(wait, changeCheckInterval), maxRetryAfter), Reason: waitReasons[verdict]}
 }
 
-// Release removes an evaluated message that was not accepted from the ledger.
+// Release removes from the ledger an evaluated message that was not accepted.
 func (m *Manager) Release(id string) {
 	now := m.lockAndDrain()
 	defer m.mu.Unlock()
 	m.ledger.Release(now, id)
 }
 
-// ReleaseUncertain removes an evaluated message that may have been accepted from the ledger. Its key stays in use until
+// ReleaseUncertain removes from the ledger an evaluated message that may have been accepted. Its key stays in use until
 // the message's deadline, and for the key retention of its class after that.
 func (m *Manager) ReleaseUncertain(id string, deadline time.Time) {
 	now := m.lockAndDrain()
@@ -163,7 +163,7 @@
 	m.ledger.ReleaseUncertain(now, id, now+max(0, time.Until(deadline)))
 }
 
-// Adopt adds a message that was persisted, by this process or another one, to the ledger.
+// Adopt adds to the ledger a message that was persisted by this process or another one.
 func (m *Manager) Adopt(adopted *message.Message) {
 	now := m.lockAndDrain()
 	defer m.mu.Unlock()
--- a/internal/ruleset/manager.go
+++ b/internal/ruleset/manager.go
@@ -33,7 +33,8 @@
 	logInterval = 10 * time.Second
 	// maxRetryAfter is the maximum time that a client is asked to wait.
 	maxRetryAfter = 30 * time.Second
-	// maxEvaluationAttempts is how often a message is evaluated at most if a change begins or completes meanwhile.
+	// maxEvaluationAttempts is the maximum number of times that a message is evaluated. It is evaluated again if a
+	// change begins or completes meanwhile.
 	maxEvaluationAttempts = 4
 )
 
