--- a/policy/circuit.go
+++ b/policy/circuit.go
@@ -9,9 +9,9 @@
 )
 
 const (
-	// A failure moves the failure score of an endpoint towards 1 by its weight, a success leaves scoreDecay
-	// of it, and at openScore the circuit opens. So two errors in a row open it and one does not; timeouts
-	// weigh less, as calls get lost; a refused connection opens it at once.
+	// A failure moves the failure score of an endpoint towards 1 by its weight, a success multiplies the
+	// score by scoreDecay, and the circuit opens at openScore. Two errors in a row therefore open it and one
+	// does not. Timeouts weigh less, because single calls get lost. A refused connection opens it at once.
 	openScore            = 0.5
 	scoreDecay           = 0.6
 	errorWeight          = 0.35
@@ -19,36 +19,38 @@
 	rejectionsWeight     = 1.0
 	connectFailureWeight = openScore
 
-	// rejectionsToOpenCircuit is the number of rejections in a row that open the circuit. A Retry-After
-	// longer than the narrow window does so by itself.
+	// rejectionsToOpenCircuit is the number of rejections in a row that open the circuit. A single rejection
+	// with a Retry-After longer than the narrow window also opens it.
 	rejectionsToOpenCircuit = 3
-	// outageWindows is how many overload windows without a success distinguish an outage from lost calls.
+	// outageWindows is the number of overload windows without a success that indicate an outage rather than
+	// single lost calls.
 	outageWindows = 2
-	// recentSuccessTime is how long a success outweighs a peer's report of an outage.
+	// recentSuccessTime is how long after a success a peer's report of an outage is ignored.
 	recentSuccessTime = 500 * time.Millisecond
 )
 
-// circuitBreaker is the circuit of one endpoint, which is closed until failures open it, and open until a
-// success or a peer's report closes it; while it is open only probes are sent. An endpoint whose last call
-// failed is suspect, whether its circuit is open or closed: it gets one call at a time. Suspicions in
-// decide/membership and decide/evidence are others: of a node, and of an endpoint by reports of peers.
+// circuitBreaker is the circuit breaker of one endpoint. It is closed until failures open it, and open until
+// a success or a peer's report closes it. While it is open only probes are sent. An endpoint whose last call
+// failed is suspect, whether its circuit is open or closed: it gets one call at a time. This suspicion
+// differs from those in decide/membership, of a node, and in decide/evidence, of an endpoint by reports of
+// peers.
 type circuitBreaker struct {
 	suspect        bool // the last outcome was a failure, and no peer has reported a recovery since
 	open           bool // during an outage
 	probeLeader    bool // this sender reported the outage to the others, and probes for all
-	sawError       bool // since the last success; silence and resets are none
+	sawError       bool // an error since the last success; timeouts and resets are not errors
 	openedAt       Time
-	unhealthySince Time // of the first failure seen or reported since it was healthy, or 0
+	unhealthySince Time // time of the first failure seen or reported since it was healthy, or 0
 	lastSuccessAt  Time // or 0
 	failureScore   float64
 
 	consecutiveTimeouts   int
-	consecutiveRejections int  // by a rate limit, of calls sent after the previous rejection
+	consecutiveRejections int  // by a rate limit; without a quota only of calls sent after the last one
 	lastRejectionAt       Time // by a rate limit
 	rejections            outlier.Score
 }
 
-// recordFailure applies a failure. connectionOnly means that it may be the connection that failed.
+// recordFailure applies a failure. connectionOnly means that possibly only the connection failed.
 func (c *circuitBreaker) recordFailure(now Time, weight float64, connectionOnly bool) {
 	c.suspect = true
 	c.unhealthySince = cmp.Or(c.unhealthySince, now)
@@ -58,7 +60,7 @@
 	}
 }
 
-// recordSuccess applies a success. It closes no circuit: see Sender.recordSuccess.
+// recordSuccess applies a success. It does not close the circuit: see Sender.recordSuccess.
 func (c *circuitBreaker) recordSuccess(now Time) {
 	c.suspect, c.sawError, c.lastSuccessAt = false, false, now
 	c.consecutiveTimeouts, c.consecutiveRejections = 0, 0
@@ -66,19 +68,20 @@
 	c.failureScore *= scoreDecay
 }
 
-// reset clears what failures have left, after a peer reported that the endpoint is back.
+// reset clears the effects of earlier failures, after a peer reported that the endpoint has recovered.
 func (c *circuitBreaker) reset() {
 	c.suspect, c.failureScore = false, 0
 	c.consecutiveTimeouts, c.consecutiveRejections = 0, 0
 }
 
-// restore opens the circuit of an endpoint that failed last before the node restarted.
+// restore opens the circuit of an endpoint that had failed and not recovered when the node restarted.
 func (c *circuitBreaker) restore(now, failedAt Time) {
 	c.open, c.suspect, c.sawError, c.openedAt, c.failureScore = true, true, true, now, openScore
 	c.unhealthySince = cmp.Or(c.unhealthySince, failedAt)
 }
 
-// openSince reports whether the circuits of all ready endpoints of a path are open, and since when.
+// openSince reports whether a path has ready endpoints and the circuits of all of them are open, and since
+// when.
 func (p *path) openSince() (since Time, open bool) {
 	for _, e := range p.endpoints {
 		if e.state == Ready && !e.circuit.open {
@@ -91,8 +94,8 @@
 	return since, open
 }
 
-// isOutlier reports whether an endpoint rejects calls by itself while a sibling behind the same quota accepts
-// them.
+// isOutlier reports whether an endpoint rejects calls on its own while another endpoint under the same quota
+// accepts them.
 func (s *Sender) isOutlier(e *endpoint) bool {
 	lowest := math.Inf(1)
 	for _, sibling := range e.path.endpoints {
@@ -103,8 +106,8 @@
 	return e.path.limiter.quota != nil && e.circuit.rejections.IsOutlier(s.now, lowest)
 }
 
-// recordOutcome applies the outcome of a call to the health of its endpoint. retryAfter is 0 if none was
-// given.
+// recordOutcome applies the outcome of a call to the health of its endpoint. retryAfter is 0 if the response
+// contained none.
 func (s *Sender) recordOutcome(c *call, outcome Outcome, retryAfter, took time.Duration) {
 	switch outcome {
 	case Delivered:
@@ -117,18 +120,18 @@
 		s.recordFailure(c, outcome, errorWeight)
 	case Unreachable:
 		s.recordFailure(c, outcome, connectFailureWeight)
-	case Reset: // a crash resets many calls, and refuses the next connection
+	case Reset: // a crash resets many calls, and the next connection is refused
 		if !c.answeredSince() {
 			s.recordFailure(c, outcome, errorWeight)
 		}
 	}
 }
 
-// answeredSince reports whether the endpoint has answered since the call was sent: the call may be lost, but
-// then not by an outage.
+// answeredSince reports whether the endpoint has accepted another call since the call was sent. If so, the
+// call may be lost, but an outage is not the cause.
 func (c *call) answeredSince() bool { return c.endpoint.circuit.lastSuccessAt > c.sent }
 
-// recordTimeout applies a call without an answer.
+// recordTimeout applies a call without a response.
 func (s *Sender) recordTimeout(c *call) {
 	if c.answeredSince() {
 		return
@@ -136,12 +139,12 @@
 	e := c.endpoint
 	e.circuit.consecutiveTimeouts++
 	e.path.consecutiveTimeouts++
-	s.actions = append(s.actions, CloseIdle{Endpoint: e.id}) // the connection may be what is silent
+	s.actions = append(s.actions, CloseIdle{Endpoint: e.id}) // the connection may be broken, not the endpoint
 	s.recordFailure(c, TimedOut, timeoutWeight)
 }
 
-// recordRejection applies a rejection by a rate limit to the path, and to the health of the endpoint if it
-// shows an outage. The rejections before a long Retry-After then show nothing about the limit.
+// recordRejection applies a rejection by a rate limit to the path, and also to the health of the endpoint if
+// it indicates an outage. The rejections before a long Retry-After then give no information about the limit.
 func (s *Sender) recordRejection(c *call, retryAfter time.Duration) {
 	e := c.endpoint
 	s.recordRateLimit(e, c.sent, retryAfter)
@@ -154,8 +157,9 @@
 	s.recordFailure(c, RateLimited, rejectionsWeight)
 }
 
-// rejectionsShowOutage reports whether rejections by an endpoint show an outage rather than a limit: by a
-// long Retry-After, or by several in a row, where all senders have cut a shared quota to its minimum.
+// rejectionsShowOutage reports whether rejections by an endpoint indicate an outage rather than a rate limit:
+// because of a long Retry-After, or of several rejections in a row. With a quota several in a row count only
+// once it is cut to its minimum.
 func (s *Sender) rejectionsShowOutage(e *endpoint, retryAfter time.Duration) bool {
 	quota := e.path.limiter.quota
 	inARow := e.circuit.consecutiveRejections >= rejectionsToOpenCircuit &&
@@ -163,34 +167,34 @@
 	return inARow || isLongWait(retryAfter)
 }
 
-// isLongWait reports whether a Retry-After is longer than a rate limit gives.
+// isLongWait reports whether a Retry-After is longer than a rate limit would require.
 func isLongWait(retryAfter time.Duration) bool { return retryAfter > narrowWindow }
 
-// undoCuts sets a learnt allotment back to what it was before the latest rejections in a row.
+// undoCuts restores a learnt allotment to its value before the latest rejections in a row.
 func (s *Sender) undoCuts(l *rateLimiter) {
 	if l.quota == nil && l.allotmentBeforeRun > 0 {
 		s.setAllotment(l, l.allotmentBeforeRun)
 	}
 }
 
-// recordFailure applies a failure to an endpoint, and opens its circuit if it is due.
+// recordFailure applies a failure to an endpoint, and opens its circuit if the failures indicate an outage.
 func (s *Sender) recordFailure(c *call, outcome Outcome, weight float64) {
 	e, p := c.endpoint, c.endpoint.path
 	wasSuspect := e.circuit.suspect
 	e.circuit.recordFailure(s.now, weight, outcome == TimedOut || outcome == Reset)
 	if e.ramp.active && c.sent >= e.ramp.startedAt && wasSuspect {
-		e.ramp.startedAt = s.now // two failures in a row: it was not back yet
+		e.ramp.startedAt = s.now // two failures in a row: it had not recovered yet
 	}
 	certain := e.circuit.failureScore >= openScore ||
 		e.circuit.consecutiveTimeouts > 1 && !s.answeredRecently(e)
 	if !e.circuit.open && (certain || s.presumedDown(e)) {
 		s.openCircuit(e, certain)
 		p.nextProbeAt = s.now
-		if outcome != Reset { // after a reset the next connection shows more
+		if outcome != Reset { // after a reset, probe at once: the next connection shows whether it is down
 			p.nextProbeAt += s.probeInterval(e)
 		}
 	}
-	s.openSilentPath(p)
+	s.openUnresponsivePath(p)
 }
 
 // answeredRecently reports whether the last success of an endpoint is too recent for an outage.
@@ -198,9 +202,9 @@
 	return s.now-e.circuit.lastSuccessAt < outageWindows*s.settings.OverloadWindow
 }
 
-// openSilentPath opens the circuits of all endpoints of a path that leave calls unanswered, once no endpoint
-// of it answers: each of them is called too seldom to show an outage by itself.
-func (s *Sender) openSilentPath(p *path) {
+// openUnresponsivePath opens the circuit of each endpoint with timeouts, if no endpoint of the path has
+// answered recently. It is needed because each endpoint gets too few calls to show an outage by itself.
+func (s *Sender) openUnresponsivePath(p *path) {
 	justStarted := s.now-s.startedAt < outageWindows*s.settings.OverloadWindow
 	if p.limiter.quota == nil || p.consecutiveTimeouts <= 1 || justStarted ||
 		slices.ContainsFunc(p.endpoints, s.answeredRecently) {
@@ -214,9 +218,10 @@
 	}
 }
 
-// presumedDown reports whether one error is treated as an outage: the last success is too old to show the
-// opposite, and no peer's report would. The next call may be one of hundreds by senders that saw one failure
-// each; it is made if the ramp budget of this sender is a call.
+// presumedDown reports whether a single error is treated as an outage: if the last success is too old to
+// refute it, and no reports of peers arrive that could. Hundreds of senders that saw one failure each may
+// then make a next call. This sender makes its next call without opening the circuit only if its ramp budget
+// is at least one call.
 func (s *Sender) presumedDown(e *endpoint) bool {
 	noRecentSuccess := s.now-e.circuit.lastSuccessAt >= outageWindows*s.settings.OverloadWindow
 	return e.circuit.sawError && noRecentSuccess && !s.receivesReports() &&
@@ -224,7 +229,7 @@
 }
 
 // openCircuit opens the circuit of an endpoint. A certain outage is reported to the peers, and this sender
-// then probes for all. Rejections that led to it show nothing about the limit.
+// then probes for all. The cuts of the quota by recent rejections are undone, because the outage caused them.
 func (s *Sender) openCircuit(e *endpoint, certain bool) {
 	e.circuit.probeLeader = false
 	if certain {
@@ -235,7 +240,7 @@
 	e.path.limiter.quota.UndoRecentCuts(s.now)
 }
 
-// closeCircuit ends the outage of an endpoint, which may begin a recovery ramp.
+// closeCircuit ends the outage of an endpoint, and starts a recovery ramp for PeerSlowStart.
 func (s *Sender) closeCircuit(e *endpoint, event PeerEvent) {
 	e.circuit.open = false
 	if event == PeerSlowStart {
@@ -243,12 +248,12 @@
 	}
 }
 
-// recordSuccess applies a success to an endpoint and its path, and closes its circuit. took is the time that
-// the answer took, less what a batch adds to it.
+// recordSuccess applies a success to an endpoint and its path, and closes its circuit. took is the response
+// time, divided by the batch cost of the call.
 func (s *Sender) recordSuccess(e *endpoint, took time.Duration) {
 	p, l := e.path, &e.path.limiter
 	if e.circuit.open {
-		event := PeerRecovered // a few lost calls between two answers are no outage
+		event := PeerRecovered // a few lost calls between two successes are not an outage
 		if e.circuit.sawError || !s.answeredRecently(e) {
 			event = PeerSlowStart
 		}
@@ -256,7 +261,7 @@
 		s.closeCircuit(e, event)
 		openedByRejections := e.circuit.consecutiveRejections >= rejectionsToOpenCircuit
 		if l.quota == nil && l.allotmentBeforeRun > l.allotment && openedByRejections {
-			s.setAllotment(l, l.allotmentBeforeRun) // those rejections show nothing about the limit
+			s.setAllotment(l, l.allotmentBeforeRun) // the outage caused those rejections, not the limit
 		}
 	}
 	e.circuit.recordSuccess(s.now)
--- a/policy/events.go
+++ b/policy/events.go
@@ -5,57 +5,58 @@
 // Time is a reading of the node's clock, counted from any fixed origin.
 type Time = time.Duration
 
-// MessageID names a message. The node chooses it and never uses one twice.
+// MessageID identifies a message. The node chooses it and never reuses one.
 type MessageID uint64
 
-// Event is something that the node has observed.
+// Event is an observation of the node. The node passes events to [Sender.Step].
 type Event interface{ event() }
 
-// EndpointUpdate brings the complete endpoint list, or changes to it.
+// EndpointUpdate contains the complete endpoint list, or changes to it.
 type EndpointUpdate struct {
 	Complete bool // endpoints without an entry are removed
 	Entries  []Entry
 }
 
-// SubscriptionFailed reports that a [Subscribe] failed or its subscription broke. The endpoint list stays.
+// SubscriptionFailed reports that a [Subscribe] failed or its subscription broke. The sender keeps the last
+// endpoint list.
 type SubscriptionFailed struct{}
 
-// Arrived brings a message that was accepted, or that was restored after a restart of the node.
+// Arrived contains a message that the node accepted, or restored after a restart.
 type Arrived struct {
 	Message     MessageID
 	Destination int
 	Class       int    // index of Settings.Classes
-	Key         uint64 // 0 without one
+	Key         uint64 // 0 means no key
 	GiveUpAt    Time
 	Past        Past // zero for a new message
 }
 
-// Past is the attempts at a message before the node restarted.
+// Past describes the attempts at a message before the node restarted.
 type Past struct {
 	Attempts     int
 	MayHaveRun   bool // one of them may have run, or may still run
 	FirstRunAt   Time // when the first such attempt was sent
-	FirstRunZone int  // where it was sent
+	FirstRunZone int  // the zone to which it was sent
 }
 
-// AttemptCompleted reports how an attempt ended. Every [Send] has exactly one.
+// AttemptCompleted reports the outcome of an attempt. The node passes in exactly one for each [Send].
 type AttemptCompleted struct {
 	Message    MessageID
 	Attempt    int // from 0
 	Endpoint   EndpointID
 	Outcome    Outcome
-	RetryAfter time.Duration // as the destination gave it, or 0
+	RetryAfter time.Duration // from the destination's response, or 0
 	Final      bool          // the message is done
-	// StaleConnection means, for a Reset, that a cached connection broke before any answer, which shows
-	// something about the connection and nothing about the endpoint.
+	// StaleConnection means, for a Reset, that a cached connection broke before any response. The endpoint
+	// may be healthy.
 	StaleConnection bool
 	Duration        time.Duration
 }
 
-// Withdrawn reports that a message is not to be delivered any more.
+// Withdrawn reports that a message must no longer be delivered.
 type Withdrawn struct{ Message MessageID }
 
-// PeerMessage brings what another sender observed. Such messages may be lost or late.
+// PeerMessage contains an observation of another sender. Such messages may be lost or delayed.
 type PeerMessage struct {
 	Tag        Tag
 	Endpoint   EndpointID // 0 if only the Tag is known
@@ -63,18 +64,18 @@
 	ProbeDelay time.Duration // PeerDown: others probe the endpoint, so this sender waits at least this long
 }
 
-// HealthRestored brings what an earlier process of the node observed of an endpoint. It comes before the
-// first call to it.
+// HealthRestored contains the observations about an endpoint that the node made before it restarted. It must
+// precede the first call to the endpoint.
 type HealthRestored struct {
 	Endpoint    EndpointID
 	CallTimes   []Time // oldest first
 	Failed      bool   // a call failed
 	FailedAt    Time   // the last failure
-	Recovered   bool   // a success came after it
+	Recovered   bool   // a success followed the last failure
 	RecoveredAt Time   // the first such success
 }
 
-// Woken reports that the time of a [Wake] has come.
+// Woken reports that the time of a [Wake] has been reached.
 type Woken struct{}
 
 func (EndpointUpdate) event()     {}
@@ -86,10 +87,10 @@
 func (HealthRestored) event()     {}
 func (Woken) event()              {}
 
-// Action is something that the node has to do, at once and in the order given.
+// Action is a command to the node. The node executes the actions of a step immediately and in order.
 type Action interface{ action() }
 
-// Send makes one attempt. The Sends of one step to one endpoint travel as one call, as its kind allows.
+// Send makes one attempt. The Sends of one step to one endpoint form one call, up to Kind.MaxBatch messages.
 type Send struct {
 	Message  MessageID
 	Endpoint EndpointID
@@ -102,10 +103,10 @@
 	RetryAfter time.Duration // how long the client should wait, or 0
 }
 
-// Fail ends a message without a promise about its effect.
+// Fail ends a message with an unknown effect: an attempt may have run.
 type Fail struct{ Message MessageID }
 
-// Subscribe asks for changes to the endpoint list from now on.
+// Subscribe requests the changes to the endpoint list from now on.
 type Subscribe struct{}
 
 // CloseIdle closes the idle connections to an endpoint.
@@ -117,7 +118,7 @@
 	Event PeerEvent
 }
 
-// Wake asks for a [Woken] at the first step at or after a time.
+// Wake requests a [Woken] in the first step at or after a time.
 type Wake struct{ At Time }
 
 func (Send) action()        {}
--- a/policy/forecast.go
+++ b/policy/forecast.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// Forecasts of how soon a destination serves its queue.
+// This file forecasts how soon a destination serves its queue.
 
-// expectedQueueDelay returns how long the queue of a destination is expected to take.
+// expectedQueueDelay returns the expected time until the queue of a destination is empty.
 func (s *Sender) expectedQueueDelay(d *destination) time.Duration {
 	rate, closed := 0.0, time.Duration(math.MaxInt64)
 	for _, p := range d.paths {
@@ -21,12 +21,12 @@
 	return closed + queueTime(d.queue.Len(), rate)
 }
 
-// queueTime returns how long a number of messages takes at a rate a second.
+// queueTime returns the time to send a number of messages at a rate in messages a second.
 func queueTime(messages int, rate float64) time.Duration {
 	return time.Duration(float64(messages) / rate * float64(time.Second))
 }
 
-// expectedRate returns how many messages a second a path is expected to accept from this sender.
+// expectedRate returns the expected number of messages a second that a path accepts from this sender.
 func (s *Sender) expectedRate(p *path) float64 {
 	calls := max(s.ownRate(p), p.limiter.advertisedRatePerSender, 1/narrowWindow.Seconds())
 	if p.limiter.limited() {
@@ -35,8 +35,8 @@
 	return calls * float64(p.kind.MaxBatch)
 }
 
-// expectedClosedTime returns how long a path is expected to accept no calls: an outage is expected to last as
-// long again as it has lasted.
+// expectedClosedTime returns the expected time until a path accepts calls again. An outage is expected to
+// last as long again as it has lasted so far.
 func (s *Sender) expectedClosedTime(p *path) time.Duration {
 	wait := max(p.limiter.quota.SuspendedFor(s.now), p.limiter.closedUntil-s.now)
 	if since, open := p.openSince(); open {
@@ -45,8 +45,8 @@
 	return wait
 }
 
-// waitForFreePath returns how long a message is expected to wait for a path without a fee, negative if no
-// such path may take it.
+// waitForFreePath returns the expected wait of a message for a path without a fee. It is negative if no such
+// path may take the message.
 func (s *Sender) waitForFreePath(m *message) time.Duration {
 	wait := time.Duration(-1)
 	for _, p := range m.dest.paths {
--- a/policy/peers.go
+++ b/policy/peers.go
@@ -4,20 +4,20 @@
 	"time"
 )
 
-// peerReports is when reports were last exchanged with the other senders.
+// peerReports holds the times of the last reports from and to the other senders.
 type peerReports struct {
 	lastReceivedAt, lastSentAt Time // or 0
 }
 
-// receivesReports reports whether peers' reports have arrived recently. Otherwise nobody knows whether its
-// own arrive, and none may be the probe leader.
+// receivesReports reports whether a peer's report has arrived recently. Otherwise this sender must assume
+// that its own reports are lost as well, and must not act as the only prober of an endpoint.
 func (s *Sender) receivesReports() bool {
 	return s.peers.lastReceivedAt > 0 && s.now-s.peers.lastReceivedAt < s.settings.OverloadWindow
 }
 
-// reportToPeers reports an event to the other senders where that is allowed, and returns whether it did.
-// While no reports arrive all senders together send one a tick: each goes to all, and in a network outage
-// hundreds would be lost anyway.
+// reportToPeers reports an event to the other senders if that is allowed, and returns whether it did. While
+// no reports arrive, the rate of all senders together is limited to one a tick: each report goes to all
+// senders, and in a network outage hundreds would be lost anyway.
 func (s *Sender) reportToPeers(e *endpoint, event PeerEvent) bool {
 	interval := time.Duration(s.settings.Senders) * s.settings.Tick
 	allowed := s.settings.PeerMessages && (s.receivesReports() || s.now-s.peers.lastSentAt >= interval)
@@ -28,7 +28,7 @@
 	return allowed
 }
 
-// receiveReport applies what another sender observed of an endpoint.
+// receiveReport applies another sender's observation about an endpoint.
 func (s *Sender) receiveReport(report PeerMessage) {
 	e := s.registry.endpoints.Current(report.Tag)
 	if report.Endpoint != 0 {
@@ -55,8 +55,8 @@
 	}
 }
 
-// applyRejectionReport applies a rejection of another sender. It shows nothing about a share that is assigned
-// to this sender.
+// applyRejectionReport applies a reported rejection of another sender's call. It has no effect on a rate that
+// is assigned to this sender.
 func (s *Sender) applyRejectionReport(e *endpoint) {
 	l := &e.path.limiter
 	switch {
@@ -68,8 +68,9 @@
 	}
 }
 
-// applyOutageReport opens the circuit of an endpoint, unless this sender has just had a success. Probes are
-// left to the peer that reported it, for probeDelay at least, but for rare ones: reports get lost.
+// applyOutageReport opens the circuit of an endpoint, unless this sender has just had a success. It leaves
+// probes to the reporting peer for at least probeDelay. After that this sender sends rare probes of its own,
+// because reports get lost.
 func (s *Sender) applyOutageReport(e *endpoint, probeDelay time.Duration) {
 	c := &e.circuit
 	if c.open && probeDelay == 0 || s.now-c.lastSuccessAt < recentSuccessTime && c.lastSuccessAt > 0 {
--- a/policy/probe.go
+++ b/policy/probe.go
@@ -6,27 +6,27 @@
 	"wingmount/internal/estimate"
 )
 
-// suspectSlotDivisor divides the slots into those that messages to suspect endpoints may occupy before
-// another call to such an endpoint starts.
+// suspectSlotDivisor gives the limit on messages in calls to suspect endpoints: another call to such an
+// endpoint starts only while they are fewer than the slots divided by it. See mayCallSuspects.
 const suspectSlotDivisor = 4
 
-// unknownCount marks a count that is not up to date.
+// unknownCount marks a count that must be computed again.
 const unknownCount = -1
 
-// probeDue reports whether a path may be probed now: probes are spaced, and one is outstanding at a time.
+// probeDue reports whether a path may be probed now: probes are spaced, and at most one is outstanding.
 func (s *Sender) probeDue(p *path) bool {
 	probed := func(e *endpoint) bool { return e.circuit.open && len(e.calls) > 0 }
 	return s.now >= p.nextProbeAt && !slices.ContainsFunc(p.endpoints, probed)
 }
 
-// fitsProbe reports whether a message may be sent to an endpoint that is probed. A timeout would end an
-// AtMostOnce message, so it is not used in the first half of its time.
+// fitsProbe reports whether a message may be sent to an endpoint that is suspect or probed. A timeout would
+// end an AtMostOnce message, so such a message is not used in the first half of its deadline.
 func (s *Sender) fitsProbe(m *message) bool {
 	return m.class.Repeat != AtMostOnce || s.now-m.createdAt > m.class.Deadline/2
 }
 
-// probeInterval returns the time between two probes of this sender: an overload window for a probe leader,
-// and for others as long as it takes all senders together to stay within the ramp budget.
+// probeInterval returns the time between two probes of this sender: about an overload window for a probe
+// leader, and otherwise long enough that all senders together stay within the ramp budget.
 func (s *Sender) probeInterval(e *endpoint) time.Duration {
 	interval := s.settings.OverloadWindow + estimate.Jitter(s.rng, s.settings.OverloadWindow/2)
 	budget := s.rampBudget(e, s.warmUpFactor(s.now))
@@ -36,8 +36,9 @@
 	return interval
 }
 
-// inheritOutage opens the circuit of an endpoint that is added to a path whose circuits are all open: a
-// replacement that is still warming up must not get all of the backlog of the outage, so it is probed first.
+// inheritOutage opens the circuit of an endpoint that is added to a path whose ready endpoints all have open
+// circuits. The new endpoint may be a replacement that is still warming up and must not get the whole backlog
+// of the outage, so it is probed first.
 func (s *Sender) inheritOutage(e *endpoint) {
 	anyOpen := false
 	for _, sibling := range e.path.endpoints {
@@ -50,8 +51,9 @@
 }
 
 // mayCallSuspects reports whether one more call to an endpoint that is suspect or whose circuit is open may
-// start. Most slots stay free for healthy ones, however many hang. While half of the slots are idle the
-// others may use up to half: single calls get lost anywhere.
+// start. Most slots stay free for healthy endpoints, even if many calls to others hang. While half of the
+// slots are idle, calls to suspect endpoints may use up to half of all slots: single calls get lost anywhere,
+// so an endpoint that is suspect is often healthy.
 func (s *Sender) mayCallSuspects() bool {
 	if s.slots.suspectMessages == unknownCount {
 		s.slots.suspectMessages = s.countSuspectMessages()
--- a/policy/queue.go
+++ b/policy/queue.go
@@ -5,13 +5,13 @@
 	"wingmount/internal/estimate"
 )
 
-// maxSpareBacklogs bounds the backlogs that are kept for reuse.
+// maxSpareBacklogs is the maximum number of backlogs that are kept for reuse.
 const maxSpareBacklogs = 1024
 
-// closingTicks is how many ticks before its time is over a message ceases to be plain. A plain message has no
-// key, no attempt that was made or may have run, and more time left than that: the plain messages of a class
-// differ only by age.
-const closingTicks = 3
+// minPlainTicks is the number of ticks before its give-up time at which a message is no longer plain. A plain
+// message has no key, no earlier attempt, and more time left than that. The plain messages of a class
+// therefore differ only by age.
+const minPlainTicks = 3
 
 // message is one message, from its arrival until it is done and no attempt at it is outstanding.
 type message struct {
@@ -23,18 +23,18 @@
 	createdAt Time                          // when it was first submitted
 	giveUpAt  Time
 
-	entry        container.Entry[*message] // in the queue of its destination
-	deadlineItem container.Item[*message]
-	dedupItem    container.Item[*message]
-	closingItem  container.Item[*message]
+	entry           container.Entry[*message] // in the queue of its destination
+	deadlineItem    container.Item[*message]
+	dedupItem       container.Item[*message]
+	plainExpiryItem container.Item[*message]
 
 	attempts   int
-	call       *call // the outstanding attempt
+	call       *call // the call with the outstanding attempt, or nil
 	notBefore  Time  // end of its backoff
 	lastFailed *endpoint
 
 	firstRunAt        Time  // when the first attempt that may have run was sent
-	firstRunZone      int32 // where it was sent
+	firstRunZone      int32 // the zone to which it was sent
 	mayHaveRun        bool  // an attempt may have run, or is outstanding
 	earlierMayHaveRun bool  // an attempt that is over may have run
 	done              bool  // it has its outcome
@@ -44,35 +44,35 @@
 type call struct {
 	endpoint   *endpoint
 	sent       Time
-	size       int  // messages
-	unfinished int  // messages without an outcome
-	recorded   bool // its outcome counts for the endpoint's health
+	size       int  // number of messages
+	unfinished int  // number of messages without an outcome
+	recorded   bool // an outcome has been applied to the endpoint's health
 }
 
-// backlog is the unfinished messages of a destination.
+// backlog holds the unfinished messages of a destination.
 type backlog struct {
-	outstanding int                       // calls
-	queue       container.Queue[*message] // without an outstanding attempt; see closingTicks for plain ones
-	unfinished  int                       // messages, also with an outstanding attempt
+	outstanding int                       // number of outstanding calls
+	queue       container.Queue[*message] // without an outstanding attempt; see minPlainTicks for plain ones
+	unfinished  int                       // number of messages, including those with an outstanding attempt
 
-	rankedAt      int         // the step of ranked, 0 to rank again
-	ranked        []candidate // may be next, the very next one first
-	shedCandidate candidate   // see makeRoom
+	rankedAt      int         // the step in which ranked was computed; 0 if it must be computed again
+	ranked        []candidate // may be sent next, the best one first
+	shedCandidate candidate   // see findShedCandidate
 }
 
-// messageQueues has the messages of all destinations, by what a step looks them up by.
+// messageQueues holds the messages of all destinations, with the indexes that a step uses.
 type messageQueues struct {
 	messages map[MessageID]*message
-	keys     container.KeyQueues[*message] // of messages whose key is in order
-	arrivals uint64                        // messages so far
-	waiting  int                           // messages in the queues of destinations
+	keys     container.KeyQueues[*message] // messages with an ordered key
+	arrivals uint64                        // number of messages that have arrived
+	waiting  int                           // number of messages in the queues of destinations
 	nonEmpty container.OrderedSet[*destination]
 	backlogs container.Pool[backlog]
 
-	closing       container.Heap[*message] // plain messages, by when they cease to be plain
+	plainExpiry   container.Heap[*message] // plain messages, by the time until which they are plain
 	deadline      container.Heap[*message] // messages that are not done, by giveUpAt
 	dedupExpiry   container.Heap[*message] // queued messages, by the end of their dedup window
-	undeliverable []*message               // can't be sent any more; some may be done
+	undeliverable []*message               // can no longer be sent; some may be done
 }
 
 func newMessageQueues() messageQueues {
@@ -82,7 +82,7 @@
 	}
 }
 
-// addMessage adds a message that has arrived, or was restored. It panics if the settings lack its class.
+// addMessage adds a message that has arrived, or was restored. It panics if its class is not in the settings.
 func (s *Sender) addMessage(a Arrived) {
 	q := &s.queues
 	class := &s.settings.Classes[a.Class]
@@ -93,7 +93,7 @@
 		firstRunAt: a.Past.FirstRunAt, firstRunZone: int32(a.Past.FirstRunZone),
 	}
 	q.arrivals++
-	m.deadlineItem.Value, m.dedupItem.Value, m.closingItem.Value = m, m, m
+	m.deadlineItem.Value, m.dedupItem.Value, m.plainExpiryItem.Value = m, m, m
 	m.entry = container.Entry[*message]{
 		Value: m, Class: a.Class, CreatedAt: int64(m.createdAt), Seq: q.arrivals,
 	}
@@ -109,7 +109,7 @@
 		m.key = q.keys.Add(a.Key, m)
 	}
 	if m.entry.Plain = m.key == nil && m.attempts == 0 && !m.mayHaveRun; m.entry.Plain {
-		q.closing.Set(&m.closingItem, int64(m.giveUpAt-closingTicks*s.settings.Tick))
+		q.plainExpiry.Set(&m.plainExpiryItem, int64(m.giveUpAt-minPlainTicks*s.settings.Tick))
 	}
 	s.enqueue(m)
 }
@@ -143,11 +143,12 @@
 	}
 }
 
-// finish marks a message as done. It is kept while an attempt at it is outstanding.
+// finish marks a message as done. It deletes the message, unless an attempt is outstanding: completeAttempt
+// then deletes it.
 func (s *Sender) finish(m *message) {
 	m.done = true
 	s.queues.deadline.Remove(&m.deadlineItem)
-	s.queues.closing.Remove(&m.closingItem)
+	s.queues.plainExpiry.Remove(&m.plainExpiryItem)
 	s.dequeue(m)
 	if m.call == nil {
 		s.remove(m)
--- a/policy/ratelimit.go
+++ b/policy/ratelimit.go
@@ -10,52 +10,55 @@
 )
 
 const (
-	// The two sliding windows of a path. A destination gets a few calls a second, so the narrow one spans
-	// seconds to count more than one or two; the wide one counts what a larger allotment allowed before a
-	// cut.
+	// The two sliding windows of a path. A destination gets a few calls a second, so the narrow window is
+	// seconds long to count more than one or two. The wide window also counts the calls that a larger
+	// allotment allowed before a cut.
 	narrowWindow = 2 * time.Second
 	wideWindow   = 12 * time.Second
 	// wideToNarrow is the ratio of the windows.
 	wideToNarrow = float64(wideWindow) / float64(narrowWindow)
 
-	// A success under an exhausted allotment adds allotmentGrowth calls to it, and a rejection leaves
-	// allotmentPerRejection of it. Rejections cost little and unused capacity delays messages, so growth is
-	// quick and cuts are mild.
+	// A success under an exhausted allotment adds allotmentGrowth calls to it, and a rejection multiplies it
+	// by allotmentPerRejection. Rejections cost little and unused capacity delays messages, so growth is fast
+	// and cuts are small.
 	allotmentGrowth       = 0.25
 	allotmentPerRejection = 0.85
-	// allotmentPerRepeatedRejection is left by a rejection with no success since the last one: where rejected
-	// calls use up the limit as well, a congested destination stays congested.
+	// allotmentPerRepeatedRejection is the factor for a rejection without a success since the last one. It is
+	// smaller because, if rejected calls also count for the limit, a congested destination stays congested.
 	allotmentPerRepeatedRejection = 0.75
-	// maxAllotmentGrowth bounds the growth by a success, as a fraction: many senders with a small allotment
-	// each would exceed the limit together between two rejections.
+	// maxAllotmentGrowth limits the growth by a success, as a fraction of the allotment: many senders with
+	// small allotments would otherwise exceed the limit together between two rejections.
 	maxAllotmentGrowth = 0.12
-	// callSpacing is the gap between calls under an allotment, as a fraction of the even gap: a full window
-	// of calls at one moment are rejected by a destination that accepts them at a rate.
+	// callSpacing is the gap between calls under an allotment, as a fraction of the even gap: a destination
+	// that accepts calls at a steady rate would reject a whole window of calls sent at the same time.
 	callSpacing = 0.8
 
-	// rejectionsToMinAllotment is how many rejections reduce an allotment of one call to one call for all
-	// senders, and successesPerRejection how many successes undo one. Few outcomes are seen at such rates.
+	// rejectionsToMinAllotment is the number of rejections that reduce an allotment of one call to the
+	// minimum, one call for all senders together. successesPerRejection is the number of successes that undo
+	// one such rejection. Both are small because few outcomes are seen at such rates.
 	rejectionsToMinAllotment = 3
 	successesPerRejection    = 3
-	// jitterSpread is by how much a jitter factor differs from 1 at most.
+	// jitterSpread is the maximum difference between a jitter factor and 1.
 	jitterSpread = 0.5
-	// minSendersForQuotas is the number of senders from which on they report rejections to each other and
-	// follow shared quotas: one sender by itself would learn a limit too late.
+	// minSendersForQuotas is the minimum number of senders for shared quotas, with which senders report
+	// rejections to each other. With that many, a sender on its own would learn a limit too late.
 	minSendersForQuotas = 16
 
 	// A rejection without Retry-After pauses a path for rejectionPause, doubled with each rejection in a row,
-	// the first one included, up to maxRejectionPause: the first pause is 2 * rejectionPause, and jitter.
+	// the first one included, up to maxRejectionPause. The first pause is therefore 2 * rejectionPause plus
+	// jitter.
 	rejectionPause    = 200 * time.Millisecond
 	maxRejectionPause = 2 * time.Second
-	// maxPauseJitter bounds what is added to a pause: all senders would end it at the same moment.
+	// maxPauseJitter is the maximum random addition to a pause. Without it all senders would resume at the
+	// same time.
 	maxPauseJitter = 250 * time.Millisecond
 	// maxPauseDoublings keeps the doubled pause from overflowing.
 	maxPauseDoublings = 6
 
-	// slowLatencyRatio is how many times its baseline latency a path has, relative to the others, if it is
-	// slow.
+	// slowLatencyRatio is the ratio of latency to baseline latency, relative to that of all paths, above
+	// which a path is slow.
 	slowLatencyRatio = 3
-	// slowPathSlotDivisor divides the slots into those that a slow path may use.
+	// slowPathSlotDivisor gives the slots that a slow path may use: all slots divided by it.
 	slowPathSlotDivisor = 4
 )
 
@@ -65,14 +68,14 @@
 	narrow, wide container.Window
 	allotment    float64          // calls in a narrow window; infinite without a limit
 	quota        *ratelimit.Quota // shared by many senders or assigned to this one, or nil
-	jitter       float64          // factor of about 1 on the length of windows under a shared quota
+	jitter       float64          // random factor from 0.5 to 1.5 on the windows under a shared quota
 	closedUntil  Time             // by Retry-After or a pause
 
 	allotmentBeforeRun float64           // the allotment before the latest rejections in a row, or 0
-	congestion         estimate.Doubling // reported rejections, and the span of the pause
+	congestion         estimate.Doubling // observed congestion, and the maximum length of its pause
 
 	advertisedRatePerSender float64 // in calls a second, or 0
-	safeRate                float64 // the least that the advertised or assigned rate may mean for this sender
+	safeRate                float64 // the lower bound of this sender's advertised or assigned rate
 }
 
 // newRateLimiter returns a limiter without a limit.
@@ -85,13 +88,13 @@
 
 func (l *rateLimiter) limited() bool { return !math.IsInf(l.allotment, 1) }
 
-// recordCall counts a call that starts now.
+// recordCall counts a call that starts now in both windows.
 func (l *rateLimiter) recordCall(now Time) {
 	l.narrow.Record(now)
 	l.wide.Record(now)
 }
 
-// restoreCalls counts calls of an earlier process of the node, oldest first.
+// restoreCalls counts the calls that the node sent before it restarted, oldest first.
 func (l *rateLimiter) restoreCalls(now Time, sent []Time) {
 	l.narrow.Insert(sent)
 	l.narrow.Count(now)
@@ -99,7 +102,8 @@
 	l.wide.Count(now)
 }
 
-// nextCallAt returns when the spacing of calls allows the next one. Allotments of one call need no spacing.
+// nextCallAt returns the time from which the spacing of calls allows the next one, 0 for no restriction.
+// Allotments of up to one call need no spacing.
 func (l *rateLimiter) nextCallAt(tick time.Duration) Time {
 	if l.allotment <= 1 || !l.limited() {
 		return 0
@@ -107,8 +111,8 @@
 	return l.narrow.Next(callSpacing*float64(narrowWindow)/l.allotment, tick)
 }
 
-// windowsFull reports whether a further call would exceed a capacity of calls in the narrow window or the
-// corresponding one in the wide window.
+// windowsFull reports whether one more call would exceed the capacity, in calls, of the narrow window, or the
+// proportional capacity of the wide window.
 func (l *rateLimiter) windowsFull(now Time, capacity float64) bool {
 	return float64(l.narrow.Count(now)) > capacity-1 || float64(l.wide.Count(now)) > capacity*wideToNarrow-1
 }
@@ -118,12 +122,12 @@
 	return l.limited() && float64(l.narrow.Count(now)) >= l.allotment-1
 }
 
-// closeUntil allows no call before a time.
+// closeUntil blocks calls until a time.
 func (l *rateLimiter) closeUntil(until Time) { l.closedUntil = max(l.closedUntil, until) }
 
-// updateFromQuota sets the allotment to what the quota allows now. The wide window keeps the length of the
-// recent rate if that was higher: shortened at once it would reject calls that were allowed when they were
-// made.
+// updateFromQuota sets the allotment and the windows from the current rate of the quota. If the recent rate
+// was higher, the wide window is shortened in proportion. Otherwise the calls that were allowed at the recent
+// rate would exceed its new capacity and block further calls.
 func (l *rateLimiter) updateFromQuota(now Time) {
 	rate, recent := l.quota.Rate(now)
 	l.allotment = rate * narrowWindow.Seconds()
@@ -132,8 +136,8 @@
 	l.wide.Span = time.Duration(scale * float64(wideWindow) * rate / recent)
 }
 
-// resize sets the allotment and scales the windows. Calls that have left a window do not return to a longer
-// one.
+// resize sets the allotment and scales the windows. It first drops the calls that have left a window, so that
+// they do not count again in a longer one.
 func (l *rateLimiter) resize(now Time, allotment, scale float64) {
 	l.narrow.Count(now)
 	l.wide.Count(now)
@@ -142,9 +146,9 @@
 	l.wide.Span = time.Duration(scale * float64(wideWindow))
 }
 
-// setAllotment sets a learnt allotment. With many senders it may be less than one call in a window: the
-// windows are then lengthened until it is one call, by random factors, so that senders that were rejected
-// together do not return together.
+// setAllotment sets a learnt allotment. With many senders it may be less than one call in a window. The
+// windows are then lengthened until it is one call, times a random factor, so that senders that were rejected
+// together do not resume together.
 func (s *Sender) setAllotment(l *rateLimiter, allotment float64) {
 	scale := 1.0
 	if allotment <= 1 {
@@ -153,13 +157,13 @@
 	l.resize(s.now, allotment, scale)
 }
 
-// drawJitter returns a random factor of about 1 that spreads what senders with the same observations would do
-// at the same time.
+// drawJitter returns a random factor of about 1. It spreads actions that senders with the same observations
+// would otherwise take at the same time.
 func (s *Sender) drawJitter() float64 {
 	return 1 - jitterSpread + 2*jitterSpread*s.rng.Float64()
 }
 
-// sharesQuotas reports whether there are so many senders that they follow shared quotas.
+// sharesQuotas reports whether there are enough senders to follow shared quotas.
 func (s *Sender) sharesQuotas() bool { return s.settings.Senders >= minSendersForQuotas }
 
 // startsFromAdvertisedRate reports whether the allotment of a path starts from its advertised rate.
@@ -167,8 +171,8 @@
 	return s.settings.RateAccuracy != RateUnknown && p.advertisedRate > 0 && p.assignedRate == 0
 }
 
-// applyAssignedRate applies the rate that an entry assigns to this sender, or withdraws. Without one a path
-// continues from its present allotment. For an idle destination the latest rate counts.
+// applyAssignedRate applies the assigned rate of an entry, or its withdrawal. After a withdrawal the path
+// continues from its current allotment. For an idle destination the rate is stored for startTraffic.
 func (s *Sender) applyAssignedRate(p *path, entry Entry) {
 	switch {
 	case entry.State == Removed:
@@ -179,7 +183,8 @@
 	}
 }
 
-// setAssignedRate makes a limiter follow a rate in calls a second that is assigned to this sender, or none.
+// setAssignedRate sets the quota of a limiter to a rate in calls a second that is assigned to this sender. 0
+// removes the quota, and NoCalls suspends it.
 func (s *Sender) setAssignedRate(l *rateLimiter, from Time, rate float64) {
 	if l.quota = l.quota.Assign(from, rate); rate > 0 {
 		l.safeRate = s.settings.RateAccuracy.LowerBound(rate)
@@ -188,7 +193,8 @@
 }
 
 // allowsCall reports whether the rate limit and the outstanding calls of a path allow one more call now.
-// Probes of an outage have a spacing of their own: the long windows of a shared quota would delay them.
+// During an outage the windows of a shared quota do not apply: probes have their own spacing, and the long
+// windows would delay them.
 func (s *Sender) allowsCall(p *path) bool {
 	l := &p.limiter
 	if l.quota != nil {
@@ -208,9 +214,9 @@
 	return p.outstanding < s.maxOutstanding(p)
 }
 
-// maxOutstanding returns how many outstanding calls a path may have: half of the slots, fewer if it has
-// become slow while others have not. The windows count starts only, so a path that hangs would otherwise
-// occupy all slots.
+// maxOutstanding returns the maximum number of outstanding calls of a path: half of the slots, fewer if it
+// has become slow while others have not. The windows count only the starts of calls, so a path whose calls
+// hang would otherwise occupy all slots.
 func (s *Sender) maxOutstanding(p *path) int {
 	if p.latency.Slow(slowLatencyRatio * max(1, s.slots.relativeLatency)) {
 		return max(1, s.settings.Slots/slowPathSlotDivisor)
@@ -219,7 +225,7 @@
 }
 
 // recordRateLimit applies a rejection by a rate limit to the path of an endpoint: it cuts the allotment and
-// pauses the path, for as long as Retry-After gives if that is above 0.
+// pauses the path, for retryAfter plus jitter if that is above 0.
 func (s *Sender) recordRateLimit(e *endpoint, sent Time, retryAfter time.Duration) {
 	l := &e.path.limiter
 	switch {
@@ -231,7 +237,7 @@
 		}
 		s.recordQuotaRejection(e, unreported)
 		e.circuit.consecutiveRejections++
-	case sent >= e.circuit.lastRejectionAt: // calls that were outstanding together count as one rejection
+	case sent >= e.circuit.lastRejectionAt: // rejections of calls that were outstanding together count as one
 		s.cutAllotment(e)
 		e.circuit.consecutiveRejections++
 		e.circuit.lastRejectionAt = s.now
@@ -247,8 +253,8 @@
 }
 
 // recordQuotaRejection applies a rejection by an endpoint, of this sender's call or reported by a peer, to
-// the quota of its path. Rejections by outliers and during an outage show nothing about the limit. unreported
-// means that the peers don't learn of it.
+// the quota of its path. Rejections by outliers and during an outage do not cut the quota, because the limit
+// is not their cause. unreported means that the peers are not notified of the rejection.
 func (s *Sender) recordQuotaRejection(e *endpoint, unreported bool) {
 	e.circuit.rejections.RecordRejection(s.now)
 	if !e.circuit.open && !s.isOutlier(e) {
@@ -256,8 +262,9 @@
 	}
 }
 
-// cutAllotment sets the allotment of an endpoint's path to the calls in the narrow window after the first
-// rejection, and cuts it after later ones, to one call in a window for all senders together at least.
+// cutAllotment reduces the allotment of an endpoint's path after a rejection. An unlimited allotment becomes
+// the number of calls in the narrow window. A limited one is cut by a factor, to no less than one call in a
+// window for all senders together.
 func (s *Sender) cutAllotment(e *endpoint) {
 	l := &e.path.limiter
 	if !l.limited() {
@@ -274,7 +281,7 @@
 	s.setAllotment(l, max(1/float64(s.settings.Senders), l.allotment*factor))
 }
 
-// growAllotment raises a learnt allotment after a success, if the allotment is exhausted.
+// growAllotment increases a learnt allotment after a success, if the allotment is exhausted.
 func (s *Sender) growAllotment(l *rateLimiter) {
 	if l.quota != nil || !l.exhausted(s.now) {
 		return
@@ -286,9 +293,10 @@
 	s.setAllotment(l, l.allotment+min(allotmentGrowth, fraction*l.allotment))
 }
 
-// pauseForCongestion pauses a path, for senders with an allotment below one call: each for a random part of
-// a span that doubles while rejections continue, since first calls by themselves keep the limit exhausted
-// if rejected calls count. It reports whether the congestion is a new observation.
+// pauseForCongestion pauses a path for senders with an allotment of one call or less. Each sender pauses for
+// a random part of a time that doubles while rejections continue: if rejected calls count for the limit, the
+// first calls of all senders are enough to keep it exhausted. It returns whether this is a new observation
+// of congestion.
 func (s *Sender) pauseForCongestion(l *rateLimiter) bool {
 	isNew := l.congestion.Again(s.now, narrowWindow, wideWindow)
 	if isNew {
--- a/policy/registry.go
+++ b/policy/registry.go
@@ -8,72 +8,73 @@
 	"wingmount/internal/estimate"
 )
 
-// evictInterval is how often a sender looks for endpoints and destinations to evict.
+// evictInterval is the interval at which a sender checks for endpoints and destinations to evict.
 const evictInterval = time.Second
 
-// registry has the destinations and endpoints that a sender knows.
+// registry holds the destinations and endpoints of a sender.
 type registry struct {
 	endpoints    container.TagMap[Tag, *endpoint]
 	destinations map[int]*destination
-	mentions     uint64 // destinations mentioned so far
+	added        uint64 // number of destinations added so far
 
-	removed   container.Expiry[*endpoint]    // gone from the endpoint list, by when they may be evicted
-	unused    container.Expiry[*destination] // without endpoints, by when they may be evicted
-	evictAt   Time                           // when to look again for what may be evicted
+	removed   container.Expiry[*endpoint]    // not in the endpoint list, by the time they may be evicted
+	unused    container.Expiry[*destination] // without endpoints, by the time they may be evicted
+	evictAt   Time                           // when to check again for evictions
 	retention time.Duration                  // how long a destination without endpoints is kept
 }
 
 func newRegistry(senders int) registry {
-	// The windows of allotments below one call are longer than wideWindow, by the number of senders.
+	// For allotments below one call the windows are longer than wideWindow, by up to the number of senders.
 	return registry{
 		destinations: map[int]*destination{},
 		retention:    time.Duration(senders) * 2 * wideWindow,
 	}
 }
 
-// destination is one destination. It is idle until the first message, report or restored health of it comes:
-// addMessage, receiveReport and restoreHealth activate it before anything else. While it is idle only
-// applyEndpointList and evict, with what they call, may run on it: they check for nil, or active, before they
-// use the traffic of a path or the health of an endpoint. Its backlog comes and goes with its messages: only
-// evict, and what concerns only a path or an endpoint, may run without one.
+// destination holds the state of one destination. It is idle until its first message, report or restored
+// health arrives: addMessage, receiveReport and restoreHealth activate it before any other access. Only
+// applyEndpointList, evict and their callees may access an idle destination. They check active, or traffic
+// and health for nil, before they use either. backlog exists only while the destination has messages: without
+// it only evict may run, and functions that access only a path or an endpoint.
 type destination struct {
 	number int
-	order  uint64 // of first mention
+	order  uint64 // its position in the order in which destinations were added
 	paths  []*path
-	active bool // its paths have traffic and their endpoints health
+	active bool // its paths have traffic, and their endpoints health
 
 	*backlog // nil while it has no message
 }
 
-// path is the endpoints that share one rate limit: all of a destination, or one if each is a route of its
-// own.
+// path is the group of endpoints that share one rate limit: all endpoints of a destination, or a single one
+// if the routes of the destination are separate.
 type path struct {
 	dest      *destination
 	endpoints []*endpoint
 
-	// What the endpoint list gave, in calls a second: the rate of all senders, and while the destination is
-	// idle the rate that is assigned to this sender, see Entry.AssignedRate.
+	// Rates from the endpoint list, in calls a second. advertisedRate is that of all senders together.
+	// assignedRate is the Entry.AssignedRate of this sender; it is kept up to date only while the destination
+	// is idle.
 	advertisedRate float64
 	assignedRate   float64
-	knownSince     Time   // when the list gave these
-	assumedCallAt  Time   // a call that many senders assume, so that not all start at once
-	maxReady       uint32 // the most endpoints that were ready at a time
+	knownSince     Time   // when these rates were received
+	assumedCallAt  Time   // an assumed call, so that with shared quotas not all senders start at once
+	maxReady       uint32 // the maximum number of endpoints that were ready at the same time
 	kindIndex      uint16
 	zone           uint16
 
 	*traffic // nil while its destination is idle
 }
 
-// traffic is what the calls on a path have shown, and what limits the next ones.
+// traffic holds the measurements of the calls on a path, and the limits on further calls.
 type traffic struct {
 	kind        Kind
 	fee         float64 // for each message, as a fraction of its value
-	outstanding int     // calls
+	outstanding int     // number of outstanding calls
 
 	limiter             rateLimiter
 	latency             estimate.Latency
 	successes           estimate.Rate
-	nextProbeAt         Time // during an outage
+	nextProbeAt         Time // the earliest time of the next probe during an outage
 	consecutiveTimeouts int  // of all its endpoints
 }
 
@@ -82,14 +83,14 @@
 	id             EndpointID
 	path           *path
 	older          *endpoint // see Link
-	stateChangedAt Time      // when it became ready, or ceased to be
+	stateChangedAt Time      // when it last became ready or stopped being ready
 	zone           int32
 	state          EndpointState
 
 	*health // nil while its destination is idle
 }
 
-// health is what the calls to an endpoint have shown.
+// health holds the outstanding calls to an endpoint, and the health derived from earlier ones.
 type health struct {
 	calls      []*call // outstanding, oldest first
 	lastSentAt Time
@@ -97,7 +98,7 @@
 	ramp       recoveryRamp
 }
 
-// Link is where the endpoint with the same tag is kept that was added before it.
+// Link returns the field that points to the next older endpoint with the same tag, for container.TagMap.
 func (e *endpoint) Link() **endpoint { return &e.older }
 
 // destination returns a destination by its number, and adds it if it is new.
@@ -105,15 +106,15 @@
 	r := &s.registry
 	d := r.destinations[number]
 	if d == nil {
-		d = &destination{number: number, order: r.mentions}
-		r.mentions++
+		d = &destination{number: number, order: r.added}
+		r.added++
 		r.destinations[number] = d
 		r.unused.Set(d, s.now+r.retention)
 	}
 	return d
 }
 
-// findEndpoint returns an endpoint by its id, or nil.
+// findEndpoint returns an endpoint by its ID, or nil.
 func (s *Sender) findEndpoint(id EndpointID) *endpoint {
 	return s.registry.endpoints.Find(TagOf(id), func(e *endpoint) bool { return e.id == id })
 }
@@ -124,7 +125,9 @@
 	for _, entry := range list.Entries {
 		present[entry.Endpoint] = true
 		e := s.findEndpoint(entry.Endpoint)
-		if e == nil && entry.State == Ready { // the drain grace of another may have ended before a restart
+		// An endpoint that is first listed as draining is skipped: its drain grace may have ended before a
+		// restart of this node.
+		if e == nil && entry.State == Ready {
 			e = s.addEndpoint(entry)
 		}
 		if e != nil {
@@ -135,7 +138,7 @@
 	if !list.Complete {
 		return
 	}
-	for e := range s.registry.endpoints.All() { // each by itself: the order does not matter
+	for e := range s.registry.endpoints.All() { // the order does not matter
 		if !present[e.id] {
 			s.setState(e, Removed)
 		}
@@ -145,7 +148,7 @@
 func (s *Sender) addEndpoint(entry Entry) *endpoint {
 	d := s.destination(entry.Destination)
 	var p *path
-	if len(d.paths) > 0 && !s.settings.Kinds[s.kindOf(entry)].SeparateRoutes {
+	if len(d.paths) > 0 && !s.settings.Kinds[s.kindIndex(entry)].SeparateRoutes {
 		p = d.paths[0]
 	} else {
 		p = s.newPath(d, entry)
@@ -162,16 +165,17 @@
 	return e
 }
 
-// kindOf returns the index of an entry's kind in the settings. The last one stands for unknown kinds.
-func (s *Sender) kindOf(entry Entry) uint16 {
+// kindIndex returns the index of an entry's kind in the settings, the last index for an unknown kind.
+func (s *Sender) kindIndex(entry Entry) uint16 {
 	return uint16(min(entry.Kind, len(s.settings.Kinds)-1))
 }
 
-// newPath returns a path for an entry. Its random start is drawn now, so that activation draws nothing.
+// newPath returns a path for an entry. It draws the random assumedCallAt, so that activate draws no random
+// numbers.
 func (s *Sender) newPath(d *destination, entry Entry) *path {
 	p := &path{
 		dest: d, advertisedRate: entry.Rate, assignedRate: entry.AssignedRate, knownSince: s.now,
-		maxReady: 1, kindIndex: s.kindOf(entry), zone: uint16(min(entry.Zone, len(s.settings.ZoneFee)-1)),
+		maxReady: 1, kindIndex: s.kindIndex(entry), zone: uint16(min(entry.Zone, len(s.settings.ZoneFee)-1)),
 	}
 	if s.startsFromAdvertisedRate(p) && s.sharesQuotas() {
 		p.assumedCallAt = s.now - estimate.Jitter(s.rng, s.initialNarrowSpan(p))
@@ -182,8 +186,8 @@
 	return p
 }
 
-// startTraffic allocates the state of a path with calls. Its allotment is unlimited, or this sender's share
-// of the advertised rate and at least one call in a window.
+// startTraffic allocates the traffic of a path. The initial allotment is unlimited, or this sender's share of
+// the advertised rate and at least one call in a narrow window.
 func (s *Sender) startTraffic(p *path) {
 	p.traffic = &traffic{
 		kind:      s.settings.Kinds[p.kindIndex],
@@ -209,15 +213,15 @@
 	}
 }
 
-// initialNarrowSpan returns the narrow window of a path that starts from its advertised rate as a shared
-// quota.
+// initialNarrowSpan returns the initial length of the narrow window of a path that follows a shared quota of
+// its advertised rate.
 func (s *Sender) initialNarrowSpan(p *path) time.Duration {
 	l := newRateLimiter()
 	s.followAdvertisedRate(&l, p)
 	return l.narrow.Span
 }
 
-// followAdvertisedRate makes a limiter follow a quota of a path's advertised rate, shared by all senders.
+// followAdvertisedRate sets the quota of a limiter to a path's advertised rate, shared by all senders.
 func (s *Sender) followAdvertisedRate(l *rateLimiter, p *path) {
 	l.quota = ratelimit.NewShared(p.knownSince, p.advertisedRate, s.settings.Senders)
 	l.updateFromQuota(s.now)
@@ -227,8 +231,8 @@
 	return &health{ramp: recoveryRamp{jitter: 1}}
 }
 
-// activate allocates the state that an idle destination lacks. It draws nothing at random, and nothing that
-// it sets depends on when it is called.
+// activate allocates the traffic and health of an idle destination. It draws no random numbers, and the
+// values that it sets do not depend on when it is called.
 func (s *Sender) activate(d *destination) {
 	if d.active {
 		return
@@ -254,10 +258,11 @@
 	e.path.maxReady = max(e.path.maxReady, uint32(e.path.countReady()))
 }
 
-// evict deletes endpoints that are gone. Each is kept while a call to it is outstanding, and for the longest
-// time that a message may wait: until then a new endpoint beside it may be its replacement, still warming up
-// after an outage. With the last endpoint of a separate route goes its path; a shared path stays with its
-// destination, which goes once it has had no endpoint and no message for as long as its windows may matter.
+// evict deletes removed endpoints and unused destinations. A removed endpoint is kept while a call to it is
+// outstanding, and for at least the longest time that a message may wait: a new endpoint of the path may be
+// its replacement, still warming up after an outage. The path of a separate route is deleted with its last
+// endpoint. A shared path is kept until its destination is deleted: after it has had no endpoint for the
+// retention, within which calls may still count in its windows, and once it has no message.
 func (s *Sender) evict() {
 	if s.now < s.registry.evictAt {
 		return
@@ -269,7 +274,7 @@
 			delete(s.registry.destinations, d.number)
 			return
 		}
-		s.registry.unused.Set(d, s.now+1) // for the next look
+		s.registry.unused.Set(d, s.now+1) // check again in the next eviction
 	})
 	s.queues.keys.Expire(s.now)
 }
@@ -293,7 +298,7 @@
 	}
 }
 
-// countReady returns how many endpoints of a path are ready by the endpoint list.
+// countReady returns how many endpoints of a path are in state Ready.
 func (p *path) countReady() int {
 	return container.Count(p.endpoints, func(e *endpoint) bool { return e.state == Ready })
 }
--- a/policy/restore.go
+++ b/policy/restore.go
@@ -2,9 +2,10 @@
 
 import "cmp"
 
-// restoreHealth applies what an earlier process of the node observed of an endpoint: its calls still count
-// for the rate limit. One that failed last has an open circuit, and one that returned less than a warm-up ago
-// is on its recovery ramp, so that a restored backlog waits for a probe.
+// restoreHealth applies the observations about an endpoint that the node made before it restarted. Its calls
+// still count for the rate limit. The circuit of an endpoint that had not recovered is opened, so that a
+// restored backlog waits for a probe. An endpoint that recovered less than a warm-up time ago continues its
+// recovery ramp.
 func (s *Sender) restoreHealth(r HealthRestored) {
 	e := s.findEndpoint(r.Endpoint)
 	if e == nil {
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -7,14 +7,15 @@
 )
 
 const (
-	// The backoff after the first failed attempt at a message, doubled with each further one.
+	// The base backoff, after the first failed attempt at a message, doubles with each further one up to the
+	// maximum.
 	backoffBase, backoffMax = 200 * time.Millisecond, 4 * time.Second
 	// maxBackoffDoublings keeps the doubled backoff from overflowing.
 	maxBackoffDoublings = 10
 )
 
 // mayRetry reports whether a message may be sent to an endpoint after its earlier attempts. If one of them
-// may have run, a repeat is safe for Idempotent messages, and where the endpoint drops repeats.
+// may have run, a repeat is safe only for Idempotent messages, and for endpoints that drop repeats.
 func (s *Sender) mayRetry(m *message, e *endpoint) bool {
 	if m.call != nil || m.done || s.cannotRetry(m) {
 		return false
@@ -23,20 +24,22 @@
 	return unrestricted || m.class.GroupAll || m.class.GroupZone && e.zone == m.firstRunZone
 }
 
-// cannotRetry reports whether no endpoint may get a message any more, since an attempt may have run.
+// cannotRetry reports whether a message may no longer be sent to any endpoint, because an attempt may have
+// run.
 func (s *Sender) cannotRetry(m *message) bool {
 	return m.mayHaveRun && (m.class.Repeat == AtMostOnce ||
 		m.class.Repeat == Deduplicated && s.now-m.firstRunAt >= m.class.DedupWindow)
 }
 
-// mayReject reports whether a message may be rejected, which promises its client that submitting it again is
-// harmless.
+// mayReject reports whether a message may be rejected. A rejection promises the client that it is safe to
+// submit the message again.
 func (s *Sender) mayReject(m *message) bool {
 	return !m.mayHaveRun || m.class.Repeat == Idempotent || m.class.Repeat == Deduplicated && m.class.GroupAll
 }
 
-// isReady reports whether a message itself permits an attempt now: no attempt is outstanding, its backoff is
-// over, it has attempts and time left, and its key has no message before it.
+// isReady reports whether a message may be attempted now, regardless of endpoints: no attempt is outstanding,
+// its backoff is over, it has attempts and time left, it is the first message of its key, and the key is not
+// cooling down if this is the first attempt.
 func (s *Sender) isReady(m *message) bool {
 	if m.call != nil || m.done || s.now < m.notBefore || m.attempts >= s.settings.MaxAttempts ||
 		s.giveUpTime(m)-s.now <= 2*s.settings.Tick {
@@ -45,7 +48,7 @@
 	return m.key.IsFirst(m) && (m.attempts > 0 || !m.key.CoolingDown(s.now))
 }
 
-// backoff returns the time until the next attempt after a number of attempts, with jitter.
+// backoff returns the delay before the next attempt after a number of attempts, with jitter.
 func (s *Sender) backoff(attempts int) time.Duration {
 	backoff := min(backoffMax, backoffBase<<min(attempts-1, maxBackoffDoublings))
 	return backoff/2 + estimate.Jitter(s.rng, backoff/2)
@@ -63,8 +66,8 @@
 	s.dequeue(m)
 }
 
-// completeAttempt applies the outcome of an attempt to its call, its endpoint and its message, which ends or
-// is queued again.
+// completeAttempt applies the outcome of an attempt to its call, its endpoint and its message. The message is
+// then done, or queued again.
 func (s *Sender) completeAttempt(completed AttemptCompleted) {
 	m := s.queues.messages[completed.Message]
 	if m == nil || m.call == nil {
@@ -89,8 +92,9 @@
 	}
 }
 
-// completeCall applies the outcome of one of a call's attempts. The first outcome that shows something about
-// the endpoint counts for its health; each Retry-After counts, as the messages of a call may end apart.
+// completeCall applies the outcome of one of a call's attempts. Only the first outcome of a call that was
+// made and did not fail on a stale connection counts for the endpoint's health. Each Retry-After counts,
+// because the messages of a call may complete at different times.
 func (s *Sender) completeCall(c *call, completed AttemptCompleted) {
 	if c.unfinished--; c.unfinished == 0 {
 		s.releaseCall(c)
@@ -105,8 +109,8 @@
 	}
 }
 
-// recordWhetherRun notes whether an attempt with an outcome may have run. The key of one that may still run
-// rests.
+// recordWhetherRun records whether an attempt with an outcome may have run. If it may still run, the key of
+// the message cools down.
 func (s *Sender) recordWhetherRun(m *message, outcome Outcome) {
 	switch outcome {
 	case RateLimited, Unreachable, NotSent: // it did not run
@@ -121,18 +125,18 @@
 	}
 }
 
-// releaseCall takes a call that is over off its endpoint.
+// releaseCall removes a completed call from its endpoint.
 func (s *Sender) releaseCall(c *call) {
 	e := c.endpoint
 	e.calls = slices.DeleteFunc(e.calls, func(o *call) bool { return o == c })
 	if len(e.calls) == 0 {
 		s.slots.calling.Remove(uint64(e.id))
 	}
-	s.countCalls(e.path, -1)
+	s.addOutstanding(e.path, -1)
 }
 
-// countCalls adds n to the numbers of outstanding calls.
-func (s *Sender) countCalls(p *path, n int) {
+// addOutstanding adds n to the numbers of outstanding calls.
+func (s *Sender) addOutstanding(p *path, n int) {
 	s.slots.outstanding += n
 	p.outstanding += n
 	p.dest.outstanding += n
--- a/policy/schedule.go
+++ b/policy/schedule.go
@@ -9,28 +9,29 @@
 )
 
 const (
-	// evenShareDivisor divides the slots into those that are shared evenly by the destinations with waiting
-	// messages, as far as that gives each a slot: the fastest one would get all slots otherwise.
+	// evenShareDivisor gives the slots that are shared evenly by the destinations with waiting messages: all
+	// slots divided by it, if that is at least one slot for each destination. Otherwise the fastest
+	// destination would get all slots.
 	evenShareDivisor = 8
-	// batchWaitFraction is the fraction of its soft deadline, less half a latency, that a message waits for
+	// batchWaitFraction is the fraction of its soft deadline, minus half a latency, that a message waits for
 	// others to share its call.
 	batchWaitFraction = 0.25
-	// maxRankedMessages is the length of a queue up to which all its messages are ranked; of longer ones
-	// those that can be next are.
+	// maxRankedMessages is the length of a queue up to which all its messages are ranked. In longer queues
+	// only the messages that can be next are ranked.
 	maxRankedMessages = 32
-	// waitTieBreak is the urgency that a second of waiting adds: ties go to the message that has waited
-	// longest.
+	// waitTieBreak is the urgency that a second of waiting adds, so that the message that has waited longest
+	// wins ties.
 	waitTieBreak = 1e-6
 )
 
 // slotUsage is the use of the slots for outstanding calls, by all destinations.
 type slotUsage struct {
-	outstanding     int                             // calls
+	outstanding     int                             // number of outstanding calls
 	calling         container.OrderedSet[*endpoint] // endpoints with outstanding calls
-	evenShare       int                             // slots of each waiting destination, in this step
+	evenShare       int                             // slots for each waiting destination, in this step
 	suspectMessages int                             // see countSuspectMessages; unknownCount after each send
-	meanLatency     float64                         // of calls, in seconds
-	relativeLatency float64                         // recent latencies over the means of their paths
+	meanLatency     float64                         // mean latency of calls, in seconds
+	relativeLatency float64                         // mean ratio of a latency to the mean of its path
 }
 
 // recordLatency adds a latency to the mean.
@@ -38,29 +39,30 @@
 	u.meanLatency += (latency.Seconds() - u.meanLatency) * estimate.SlowGain
 }
 
-// recordRelativeLatency adds the ratio of a latency to its path's mean.
+// recordRelativeLatency adds the ratio of a latency to its path's mean to the mean ratio.
 func (u *slotUsage) recordRelativeLatency(ratio float64) {
 	u.relativeLatency += (ratio - u.relativeLatency) * estimate.Gain / 2
 }
 
-// candidate is a message that may be next, with what it is ranked by.
+// candidate is a message that may be sent next, with its ranking criteria.
 type candidate struct {
-	message  *message
-	endpoint *endpoint // that would take it
-	due      bool      // its destination has less than its even share of slots
-	score    float64
+	message    *message
+	endpoint   *endpoint // the endpoint selected for it
+	underShare bool      // its destination uses less than its even share of slots
+	score      float64
 }
 
-// before reports whether a candidate precedes another: due ones first, then by score, then the older message.
+// before reports whether a candidate ranks before another: those under their share first, then those with a
+// higher score, then those with an older message.
 func (c candidate) before(other candidate) bool {
-	if c.message == nil || c.due != other.due {
-		return c.due
+	if c.message == nil || c.underShare != other.underShare {
+		return c.underShare
 	}
 	return c.score > other.score || c.score == other.score && c.message.entry.Before(&other.message.entry)
 }
 
-// dispatch sends calls while there are free slots and some message can be sent: next the one that would lose
-// most value, for the slot time that it takes, by waiting.
+// dispatch sends calls while there are free slots and messages that can be sent. The next message is the one
+// that would lose the most value by waiting, per slot time that it takes.
 func (s *Sender) dispatch() {
 	s.slots.evenShare = s.settings.Slots / evenShareDivisor / max(1, s.queues.nonEmpty.Len())
 	for s.slots.outstanding < s.settings.Slots {
@@ -79,8 +81,8 @@
 	}
 }
 
-// bestCandidate returns the first of the best candidate so far and the messages of a destination that can be
-// sent now. Within a step the ranking of a destination changes only with a call to it.
+// bestCandidate returns the best of the best candidate so far and the messages of a destination that can be
+// sent now. Within a step, only a call to a destination changes its ranking, so the ranking is reused.
 func (s *Sender) bestCandidate(d *destination, best candidate) candidate {
 	if d.rankedAt != s.steps {
 		d.rankedAt, d.ranked = s.steps, s.rank(d, 1, d.ranked[:0])
@@ -101,18 +103,19 @@
 	return best
 }
 
-// rank appends candidates of a destination: the best at index 0, the others in no order. The next n messages
-// are among them. Of a short queue all messages are candidates. In a long one the score of plain messages of
-// a class peaks at the ends of those spans of age within which its loss is convex or rises, so only the
-// messages there are. Fees, which make endpoints differ by a message's age, count only while messages are
-// few.
-func (s *Sender) rank(d *destination, n int, to []candidate) []candidate {
-	due := d.outstanding < s.slots.evenShare
+// rank appends candidates of a destination to dst and returns it: the best at index 0, the others unsorted.
+// The next n messages are among them. In a short queue, or while slots are not scarce, all messages that are
+// ready are candidates. In a long queue the score of the plain messages of a class has its maximum at the
+// ends of the age ranges within which the loss of value is convex or increasing, so of the plain messages
+// only those at the ends are candidates. Fees would make the choice of endpoint depend on a message's age,
+// but they count only while slots are not scarce.
+func (s *Sender) rank(d *destination, n int, dst []candidate) []candidate {
+	underShare := d.outstanding < s.slots.evenShare
 	add := func(m *message) bool {
 		if s.isReady(m) {
-			c := candidate{message: m, due: due, score: s.urgency(m)}
-			if to = append(to, c); c.before(to[0]) {
-				to[0], to[len(to)-1] = c, to[0]
+			c := candidate{message: m, underShare: underShare, score: s.urgency(m)}
+			if dst = append(dst, c); c.before(dst[0]) {
+				dst[0], dst[len(dst)-1] = c, dst[0]
 			}
 		}
 		return true
@@ -121,7 +124,7 @@
 		for m := range d.queue.All() {
 			add(m)
 		}
-		return to
+		return dst
 	}
 	for m := range d.queue.Distinct() {
 		add(m)
@@ -132,11 +135,11 @@
 		ages = append(ages, s.values[class].Deadline/2+1) // see fitsProbe
 		d.queue.VisitByAge(class, s.now, n, add, ages...)
 	}
-	return to
+	return dst
 }
 
-// urgency returns the value that a message loses by waiting for another narrow window, for each second of a
-// slot that it takes.
+// urgency returns the value that a message loses by waiting for another narrow window, per second for which
+// it would occupy a slot.
 func (s *Sender) urgency(m *message) float64 {
 	latency := m.dest.paths[0].latency.Mean
 	age := s.now - m.createdAt
@@ -144,8 +147,8 @@
 	return loss/latency.Seconds() + waitTieBreak*age.Seconds()
 }
 
-// waitsForBatch reports whether a message waits for others to share its call. Messages do under a rate limit,
-// since each call counts for it and with many senders each gets few messages.
+// waitsForBatch reports whether a message should wait for others to share its call. Messages wait only under
+// a rate limit: the limit counts calls, and with many senders each sender gets few messages to batch.
 func (s *Sender) waitsForBatch(m *message) bool {
 	p := m.dest.paths[0]
 	if m.attempts > 0 || m.dest.queue.Len() >= p.kind.MaxBatch || !p.limiter.limited() {
@@ -154,7 +157,7 @@
 	return s.now-m.createdAt < time.Duration(batchWaitFraction*float64(m.class.SoftDeadline))-p.latency.Mean/2
 }
 
-// sendCall makes one call to an endpoint, with a message and as many others as fit.
+// sendCall makes one call to an endpoint, with a message and as many others as its batch may contain.
 func (s *Sender) sendCall(m *message, e *endpoint) {
 	p := e.path
 	c := &call{endpoint: e, sent: s.now}
@@ -164,7 +167,7 @@
 	}
 	batch := []*message{m}
 	s.startAttempt(m, c)
-	isProbe := e.circuit.open || e.circuit.suspect // it risks one message only
+	isProbe := e.circuit.open || e.circuit.suspect // a probe puts only one message at risk
 	if more := p.kind.MaxBatch - 1; more > 0 && !isProbe {
 		for _, next := range s.batchCandidates(e, more) {
 			batch = append(batch, next.message)
@@ -186,17 +189,17 @@
 	}
 }
 
-// countNewCall counts a call that starts now for its endpoint, its path and the slots.
+// countNewCall adds a call that starts now to the state of its endpoint, its path and the slots.
 func (s *Sender) countNewCall(c *call) {
 	e := c.endpoint
 	e.calls = append(e.calls, c)
 	s.slots.calling.Add(uint64(e.id), e)
-	s.countCalls(e.path, 1)
+	s.addOutstanding(e.path, 1)
 	e.path.limiter.recordCall(s.now)
 	e.lastSentAt = s.now
 }
 
-// batchCandidates returns the next messages that a call to an endpoint may carry as well, up to a number.
+// batchCandidates returns up to limit further messages for a call to an endpoint, the best ones first.
 func (s *Sender) batchCandidates(e *endpoint, limit int) []candidate {
 	all := s.rank(e.path.dest, limit, nil)
 	all = slices.DeleteFunc(all, func(c candidate) bool { return !s.mayRetry(c.message, e) })
--- a/policy/select.go
+++ b/policy/select.go
@@ -2,11 +2,11 @@
 
 import "slices"
 
-// Endpoint selection: which endpoint takes a message now, by the endpoint list, rate limits, health,
-// idempotency, fees and load.
+// This file selects the endpoint for a message, by the endpoint list, rate limits, health, idempotency, fees
+// and load.
 
-// selectEndpoint returns the endpoint for a message, nil if it has to wait. Paths without a fee come first;
-// one with a fee is used if waiting for the others would lose more of the message's value.
+// selectEndpoint returns the endpoint for a message, or nil if the message must wait. Paths without a fee are
+// preferred. A path with a fee is used if waiting for the others would cost more of the message's value.
 func (s *Sender) selectEndpoint(m *message) *endpoint {
 	var best *endpoint
 	freeWait := s.waitForFreePath(m)
@@ -29,13 +29,13 @@
 	return best
 }
 
-// slotsScarce reports whether messages wait for slots. The time of a slot then outweighs a fee, and the
-// faster route is used.
+// slotsScarce reports whether messages wait for slots. Slot time then costs more than a fee, so the faster
+// route is used.
 func (s *Sender) slotsScarce() bool { return s.queues.deadline.Len() > 2*s.settings.Slots }
 
-// preferred reports whether endpoint a is better than b for a message. The order is: not the one that just
-// failed it, no outlier, the lower fee (lower latency if slots are scarce), a probe that is due, the fewest
-// outstanding calls, the longest time since its last call.
+// preferred reports whether endpoint a is better than b for a message. The criteria, in order, are: not the
+// endpoint at which the message just failed, not an outlier, the lower fee (if fees differ and slots are
+// scarce, the lower latency), a due probe, fewer outstanding calls, the longer time since its last call.
 func (s *Sender) preferred(a, b *endpoint, m *message) bool {
 	if x, y := a == m.lastFailed, b == m.lastFailed; x != y {
 		return y
@@ -58,8 +58,9 @@
 	return a.lastSentAt < b.lastSentAt
 }
 
-// canTake reports whether an endpoint may take a message now: a retry there is safe, the message may be a
-// probe, and the recovery ramp has capacity. Probe leaders need none: nobody else probes.
+// canTake reports whether an endpoint may take a message now: a retry there is safe, the message may be used
+// as a probe if it would be one, and the recovery ramp has capacity. A probe leader needs no ramp capacity
+// for a probe, because no other sender probes; neither does a sender that receives no reports.
 func (s *Sender) canTake(e *endpoint, m *message) bool {
 	if !s.mayRetry(m, e) || (e.circuit.open || e.circuit.suspect) && !s.fitsProbe(m) || !s.isAvailable(e) {
 		return false
@@ -77,8 +78,9 @@
 		(!c.open || s.probeDue(e.path)) && (!c.suspect || len(e.calls) == 0)
 }
 
-// permittedByList reports whether the endpoint list permits calls to an endpoint. A draining one gets none,
-// unless its destination has no ready one: then for half of the drain grace, so that calls end within it.
+// permittedByList reports whether the endpoint list permits calls to an endpoint. A draining endpoint gets
+// calls only if its destination has no ready endpoint, and only for half of the drain grace, so that the
+// calls end within it.
 func (s *Sender) permittedByList(e *endpoint) bool {
 	if e.state == Ready {
 		return true
--- a/policy/sender.go
+++ b/policy/sender.go
@@ -12,26 +12,26 @@
 	// waitingCheckInterval is the longest time between two steps while messages wait in queues.
 	waitingCheckInterval = 20 * time.Millisecond
 	// minPacedAllotment is the allotment of calls in a narrow window above which the sender also wakes as
-	// soon as the pace of a path allows its next call: gaps between calls are then near waitingCheckInterval.
+	// soon as the spacing of calls on a path allows the next one: the gaps are then close to
+	// waitingCheckInterval.
 	minPacedAllotment = 40
 )
 
-// Sender decides for one node. It coordinates the concerns, each of which owns its state. It is not safe for
-// concurrent use.
+// Sender makes the delivery decisions of one node. It is not safe for concurrent use.
 type Sender struct {
 	settings Settings
 	rng      *rand.Rand
-	values   []estimate.Value // of messages over their age, by class
-	// maxMessageAge is the longest time that a message may wait, and the overload window at least.
+	values   []estimate.Value // value of a message by its age, for each class
+	// maxMessageAge is the longest time that a message may wait, or the overload window if that is longer.
 	maxMessageAge time.Duration
 	// lowAllotmentCut is the factor by which a rejection cuts an allotment of one call or less.
 	lowAllotmentCut float64
 
-	steps     int      // so far
-	startedAt Time     // of the first step
-	now       Time     // of the current step
-	actions   []Action // of the current step
-	wakeAt    Time     // the earliest wake-up that was asked for and is still to come, or 0
+	steps     int      // number of steps, including the current one
+	startedAt Time     // time of the first step
+	now       Time     // time of the current step
+	actions   []Action // actions of the current step
+	wakeAt    Time     // the earliest pending wake-up, or 0
 
 	registry     registry
 	queues       messageQueues
@@ -42,15 +42,15 @@
 
 // subscription is the state of the subscription to the endpoint list.
 type subscription struct {
-	active  bool // changes arrive, or the request is under way
+	active  bool // the subscription exists, or the request for it is in progress
 	retryAt Time // when to subscribe again after a failure
 }
 
-// New returns a sender that knows nothing but its settings. All its randomness comes from seed.
+// New returns a sender without destinations, endpoints and messages. All its randomness comes from seed.
 func New(settings Settings, seed uint64) *Sender {
 	settings.Senders = max(settings.Senders, 1)
 	settings.Slots = max(settings.Slots, 1)
-	// The last kind and the last fee stand for entries with an unknown kind or zone.
+	// The last kind and the last fee apply to entries with an unknown kind or zone.
 	settings.Kinds = append(slices.Clone(settings.Kinds), Kind{MaxBatch: 1})
 	settings.ZoneFee = append(slices.Clone(settings.ZoneFee), 0)
 	s := &Sender{
@@ -72,11 +72,12 @@
 	return s
 }
 
-// Step applies the events observed since the last step, decides, and appends the actions to carry out now.
+// Step applies the events observed since the last step, and appends the actions that the node must execute
+// now. The node calls it when it has observed events, and when a requested [Wake] is due.
 //
-// now is of a monotonic clock and must not go back: an earlier time is not detected, and pauses, timeouts and
-// rates then count from times that are still to come. Step panics if a message has a class that the settings
-// lack.
+// now must come from a monotonic clock. Step does not detect a time before that of the last step: pauses,
+// timeouts and rates are then measured from times in the future. Step panics if the class of a message is not
+// in the settings.
 func (s *Sender) Step(now Time, events []Event, actions []Action) []Action {
 	s.now, s.actions = now, actions
 	if s.steps++; s.steps == 1 {
@@ -89,14 +90,14 @@
 		s.handle(event)
 	}
 	s.evict()
-	if !onlyReports { // reports free no capacity, and a wake-up is due for what waits
+	if !onlyReports { // reports free no capacity, and a wake-up is already pending for waiting messages
 		s.decide()
 	}
 	actions, s.actions = s.actions, nil
 	return actions
 }
 
-// handle applies one event. It panics if a message has a class that the settings lack.
+// handle applies one event. It panics if the class of a message is not in the settings.
 func (s *Sender) handle(event Event) {
 	switch e := event.(type) {
 	case EndpointUpdate:
@@ -123,21 +124,21 @@
 	}
 }
 
-// decide emits the actions that are due: a subscription, outcomes of messages, calls, and the next wake-up.
+// decide appends the actions that are due: a subscription, outcomes of messages, calls, and the next wake-up.
 func (s *Sender) decide() {
 	if s.settings.MustSubscribe && !s.subscription.active && s.now >= s.subscription.retryAt {
 		s.subscription.active = true
 		s.actions = append(s.actions, Subscribe{})
 	}
-	s.queues.closing.PopUntil(int64(s.now), func(m *message) { m.dest.queue.MakeDistinct(&m.entry) })
+	s.queues.plainExpiry.PopUntil(int64(s.now), func(m *message) { m.dest.queue.MakeDistinct(&m.entry) })
 	s.giveUpDue()
-	s.makeRoom()
+	s.shedLoad()
 	s.dispatch()
 	s.scheduleWake()
 }
 
-// scheduleWake asks for the next step: soon while messages wait in queues, else when the next one has to be
-// given up.
+// scheduleWake requests the next step: within waitingCheckInterval while messages wait in queues, otherwise
+// when the next message must be given up.
 func (s *Sender) scheduleWake() {
 	next := Time(math.MaxInt64)
 	if s.settings.MustSubscribe && !s.subscription.active {
--- a/policy/shed.go
+++ b/policy/shed.go
@@ -7,27 +7,29 @@
 )
 
 const (
-	// reservedFraction is the fraction of the in-flight capacity that is kept free: what arrives at full
-	// capacity is lost before the sender sees it.
+	// reservedFraction is the fraction of the in-flight capacity that is kept free: messages that arrive at
+	// full capacity are lost before the sender sees them.
 	reservedFraction = 0.15
 	// maxShedValue is the expected value, as a fraction of a message's full value, below which it may be
-	// given up to make room.
+	// given up to free capacity.
 	maxShedValue = 0.9
 	// noRejectionValue is added to the expected value of a message that can't be rejected: its client would
-	// not know whether to submit it again.
+	// not know whether it is safe to submit it again.
 	noRejectionValue = 0.1
 )
 
-// UsableCapacity returns how many messages are kept, of a capacity, before some are given up to make room.
+// UsableCapacity returns the part of an in-flight capacity, in messages, above which the sender gives up
+// messages to free capacity.
 func UsableCapacity(capacity int) int {
 	return capacity - max(1, int(reservedFraction*float64(capacity)))
 }
 
-// giveUpTime returns when a message is given up at the latest: a tick before its time is over, so that its
-// client is notified in time even if a step comes late.
+// giveUpTime returns the latest time to give up a message: a tick before giveUpAt, so that its client is
+// notified in time even if a step is late.
 func (s *Sender) giveUpTime(m *message) Time { return m.giveUpAt - s.settings.Tick }
 
-// giveUpDue gives up messages before their deadline, and those that can't be sent again at once.
+// giveUpDue gives up the messages whose giveUpTime has been reached, and at once those that can no longer be
+// sent.
 func (s *Sender) giveUpDue() {
 	due := s.queues.undeliverable
 	add := func(m *message) { due = append(due, m) }
@@ -43,8 +45,8 @@
 	s.queues.undeliverable = due[:0]
 }
 
-// giveUp ends a message without delivery: it is rejected if that is allowed, since its client may submit it
-// again, and fails otherwise.
+// giveUp ends a message without delivery. The message is rejected if that is allowed, because its client may
+// then submit it again, and fails otherwise.
 func (s *Sender) giveUp(m *message) {
 	if s.mayReject(m) {
 		var wait time.Duration
@@ -58,20 +60,21 @@
 	s.finish(m)
 }
 
-// makeRoom gives up messages while too little of the in-flight capacity is free, those first that are likely
-// to earn the least fraction of their value. It does nothing without a capacity in the settings.
-func (s *Sender) makeRoom() {
+// shedLoad gives up messages while more than the usable in-flight capacity is in use, beginning with those
+// that are expected to earn the smallest fraction of their value. It does nothing if Settings.MaxInFlight is
+// 0.
+func (s *Sender) shedLoad() {
 	if s.settings.MaxInFlight <= 0 {
 		return
 	}
-	keep := UsableCapacity(s.settings.MaxInFlight)
-	if s.queues.deadline.Len() <= keep {
+	usable := UsableCapacity(s.settings.MaxInFlight)
+	if s.queues.deadline.Len() <= usable {
 		return
 	}
 	for _, d := range s.queues.nonEmpty.Values() {
 		s.findShedCandidate(d)
 	}
-	for s.queues.deadline.Len() > keep {
+	for s.queues.deadline.Len() > usable {
 		var first candidate
 		for _, d := range s.queues.nonEmpty.Values() {
 			if first.message == nil || d.shedCandidate.before(first) {
@@ -86,9 +89,10 @@
 	}
 }
 
-// findShedCandidate finds the message of a destination that is likely to earn the least fraction of its
-// value, if that is below maxShedValue. Of plain messages of a class only the oldest is considered, as value
-// falls with age. The score of the candidate is the negated fraction.
+// findShedCandidate sets the shedCandidate of a destination to the message that is expected to earn the
+// smallest fraction of its value, if that is below maxShedValue. Of the plain messages of a class it
+// considers only the oldest, because value falls with age. The score of the candidate is the negated
+// fraction.
 func (s *Sender) findShedCandidate(d *destination) {
 	if d.backlog == nil {
 		return
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -8,55 +8,57 @@
 
 const (
 	// rampMargin is the fraction of the overload threshold that a ramp budget uses. The rest is for calls
-	// that are outstanding at the return, and for senders that saw nothing of the outage.
+	// that are outstanding when the endpoint recovers, and for senders that did not notice the outage.
 	rampMargin = 0.85
-	// minDestinationRate is the rate that any destination is assumed to bear once warm, in calls a second of
-	// all senders: with less, small destinations would hardly be probed.
+	// minDestinationRate is the rate that any destination is assumed to sustain once it has warmed up, in
+	// calls a second of all senders together. With less, small destinations would hardly be probed.
 	minDestinationRate = 6
 	// minInitialCapacity keeps the warm-up factor above 0.
 	minInitialCapacity = 0.01
 )
 
-// recoveryRamp limits the calls to an endpoint that has returned from an outage and may still be warming up.
+// recoveryRamp limits the calls to an endpoint that has recovered from an outage and may still be warming up.
 type recoveryRamp struct {
 	active    bool
-	startedAt Time             // when it was first seen back
-	calls     container.Window // the last one counts
-	jitter    float64          // factor of about 1 on the time between calls, drawn with each
+	startedAt Time             // when its recovery was first observed
+	calls     container.Window // holds only the last call
+	jitter    float64          // random factor on the time between calls, drawn for each
 }
 
 // start begins a ramp.
 func (r *recoveryRamp) start(now Time) { r.active, r.startedAt = true, now }
 
-// warmUpFactor returns the fraction of its capacity that a destination which returned at a time has again, at
-// least.
-func (s *Sender) warmUpFactor(returnedAt Time) float64 {
+// warmUpFactor returns a lower bound of the fraction of its capacity that a destination has now if it
+// recovered at a time.
+func (s *Sender) warmUpFactor(recoveredAt Time) float64 {
 	initial := max(minInitialCapacity, s.settings.InitialCapacity)
-	return estimate.WarmUpFactor(s.now-returnedAt, s.settings.WarmUp, initial)
+	return estimate.WarmUpFactor(s.now-recoveredAt, s.settings.WarmUp, initial)
 }
 
-// rampBudget returns how many calls in an overload window a path may get from this sender while it may be
-// warming up, at a warm-up factor: the larger of this sender's part of the rate that the path bears at least,
-// and one call for the time in which messages gathered. The budgets of all senders together stay below the
-// overload threshold though none knows what the others do: docs/design/core.md has the proof. 0 means that
-// the settings have no such threshold.
+// rampBudget returns how many calls in an overload window this sender may make to a path that may be warming
+// up, at a warm-up factor. The budget is proportional to the largest of three rates: this sender's share of
+// the rate that the path sustains at least, the rate at which the path accepted its calls, and one call per
+// time in which messages accumulated. The budgets of all senders together stay below the overload threshold
+// although the senders do not coordinate: see the proof in docs/design/core.md. 0 means that the settings
+// have no overload threshold.
 func (s *Sender) rampBudget(e *endpoint, warmUpFactor float64) float64 {
 	l := &e.path.limiter
 	safeRate := max(l.safeRate, minDestinationRate/float64(s.settings.Senders))
-	gathered := min(s.maxMessageAge, max(s.settings.OverloadWindow, s.now-e.circuit.unhealthySince)).Seconds()
+	outage := max(s.settings.OverloadWindow, s.now-e.circuit.unhealthySince)
+	accumulation := min(s.maxMessageAge, outage).Seconds()
 	threshold := rampMargin * s.settings.OverloadFactor * warmUpFactor * s.settings.OverloadWindow.Seconds()
-	return threshold * max(safeRate, l.quota.Cap(s.ownRate(e.path)), 1/gathered)
+	return threshold * max(safeRate, l.quota.Cap(s.ownRate(e.path)), 1/accumulation)
 }
 
-// rampAllows reports whether an endpoint that may be warming up may get a call. Its part of the budget is
-// that of one of the most endpoints there ever were, as it may be the only one back. The budget is kept as a
-// time between two calls, so that nothing has to be rounded.
+// rampAllows reports whether an endpoint that may be warming up may get a call. It divides the budget by the
+// maximum number of endpoints that the path ever had ready, because this endpoint may be the only one that
+// has recovered. The budget is applied as a time between two calls, which avoids rounding to whole calls.
 func (s *Sender) rampAllows(e *endpoint) bool {
-	returnedAt := s.now
+	recoveredAt := s.now
 	if e.ramp.active {
-		returnedAt = e.ramp.startedAt
+		recoveredAt = e.ramp.startedAt
 	}
-	budget := s.rampBudget(e, s.warmUpFactor(returnedAt)) / float64(e.path.maxReady)
+	budget := s.rampBudget(e, s.warmUpFactor(recoveredAt)) / float64(e.path.maxReady)
 	if budget <= 0 {
 		return true
 	}
@@ -68,15 +70,15 @@
 	return e.ramp.calls.Count(s.now) < 1
 }
 
-// countReportAsCall counts a report as a call to the endpoint: all senders receive it at the same moment, and
-// would call at the same moment otherwise.
+// countReportAsCall counts a received report as a call to the endpoint. All senders receive the report at
+// about the same time, and would otherwise all call the endpoint at that time.
 func (s *Sender) countReportAsCall(e *endpoint) {
 	e.ramp.jitter = s.rng.Float64()
 	e.ramp.calls.RecordOnly(s.now)
 }
 
-// ownRate returns how many calls a second of this sender a path accepted. The rates of all senders add up to
-// what it accepted.
+// ownRate returns the rate at which a path accepted calls of this sender, in calls a second. The rates of all
+// senders add up to the rate that the path accepted.
 func (s *Sender) ownRate(p *path) float64 {
 	return p.successes.Own(s.now-s.startedAt, s.settings.Senders)
 }
--- a/policy/timeout.go
+++ b/policy/timeout.go
@@ -6,32 +6,33 @@
 )
 
 const (
-	// initialLatency is the latency of a path before any answer.
+	// initialLatency is the assumed latency of a path before any response.
 	initialLatency = 500 * time.Millisecond
-	// A timeout is the latency and timeoutDeviations deviations, doubled while half of the slots are idle:
-	// the work for an answer that comes too late is lost.
+	// A timeout is the mean latency plus timeoutDeviations deviations. It is doubled while half of the slots
+	// are idle, because the work for a response that is too late is wasted.
 	timeoutDeviations = 5
-	// A timeout is at least minTimeoutLatencies latencies, but this floor is maxTimeoutFloor at most: a lost
-	// call occupies its slot until then. Settings.MinTimeout is a floor beside it.
+	// A timeout is at least minTimeoutLatencies latencies, but this minimum is at most maxTimeoutFloor: a
+	// lost call occupies its slot until the timeout. Settings.MinTimeout is an additional minimum.
 	maxTimeoutFloor     = 1600 * time.Millisecond
 	minTimeoutLatencies = 8
-	// maxTimeoutDoublings bounds the doublings for timeouts in a row.
+	// maxTimeoutDoublings limits the doublings for timeouts in a row.
 	maxTimeoutDoublings = 4
-	// batchItemCost is what each further message in a call adds to its duration, as a fraction.
+	// batchItemCost is the time that each further message adds to a call, as a fraction of the duration of a
+	// call with one message.
 	batchItemCost = 0.2
 
-	// An endpoint is stalled while a call is unanswered for stallLatencies latencies, and minStallTime at
-	// least.
+	// An endpoint is stalled while a call has had no response for stallLatencies latencies, and for at least
+	// minStallTime.
 	stallLatencies = 4
 	minStallTime   = 500 * time.Millisecond
 )
 
-// batchCost returns how many times as long a call with a number of messages takes as a call with one.
+// batchCost returns the expected duration of a call with size messages, relative to a call with one.
 func batchCost(size int) float64 { return 1 + batchItemCost*float64(size-1) }
 
-// attemptTimeout returns the timeout of an attempt at a message in a call with a number of messages. It is
-// long enough not to discard an answer that is under way, and doubles with each timeout in a row, as a slow
-// endpoint and a silent one look the same at first.
+// attemptTimeout returns the timeout of an attempt at a message in a call with size messages. It is long
+// enough not to discard a response that is on its way. It doubles with each timeout in a row, because a slow
+// endpoint cannot be distinguished at first from one that does not respond.
 func (s *Sender) attemptTimeout(e *endpoint, m *message, size int) time.Duration {
 	latency := &e.path.latency
 	deviation := max(latency.Deviation, latency.Mean/4)
@@ -52,15 +53,15 @@
 	longest := max(first, (m.class.Deadline-m.class.SoftDeadline)/4)
 	timeout := min(first<<min(e.circuit.consecutiveTimeouts, maxTimeoutDoublings), longest)
 	if m.class.Repeat == AtMostOnce {
-		// A timeout ends the message: it can be neither sent again nor rejected. A failed connection proves
-		// that it did not run, and must be seen first.
+		// A timeout ends the message, which can then be neither sent again nor rejected. A failed connection
+		// proves that the attempt did not run, so the timeout must not expire before ConnectTimeout.
 		timeout = 2*timeout + s.settings.ConnectTimeout
 	}
 	return timeout
 }
 
-// isStalled reports whether an endpoint hangs: a call has been outstanding for long, with no success since it
-// was sent. This shows before its timeout, and one late answer ends it.
+// isStalled reports whether a call to an endpoint has been outstanding for long, with no success of the
+// endpoint since it was sent. This is detected before the call times out, and a single late success ends it.
 func (s *Sender) isStalled(e *endpoint) bool {
 	limit := stallLatencies * max(1, s.slots.relativeLatency) * float64(e.path.latency.Mean)
 	return slices.ContainsFunc(e.calls, func(c *call) bool {
