--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -11,19 +11,19 @@
 	"wingmount/policy"
 )
 
-// fleetConfig is the nodes and the destination of a fleet.
+// fleetConfig describes the nodes and the destination of a fleet.
 type fleetConfig struct {
 	nodes      int
-	senders    int     // that the settings name; 0 for the number of nodes
-	advertised float64 // by the endpoint list, in calls a second; 0 for the limit
-	limit      float64 // calls a second that the destination takes
-	lossRate   float64 // the fraction of peer messages that do not arrive
+	senders    int     // Settings.Senders; 0 for the number of nodes
+	advertised float64 // the rate in the endpoint list, in calls a second; 0 for the limit
+	limit      float64 // calls a second that the destination accepts
+	lossRate   float64 // the fraction of peer messages that are lost
 	seed       uint64
 }
 
-// fleet is many senders on virtual time of one destination with a rate limit: a token bucket that rejected calls
-// drain as well. It has no network, no control and one destination, so that a test of many nodes takes little
-// time; clusters with faults are simulated by internal/simulation, which is the one to extend.
+// fleet simulates many senders of one destination on virtual time. The destination has a rate limit: a token bucket that
+// rejected calls drain as well. The simulation has no network, no control process and one destination, so that a test of
+// many nodes takes little time. Clusters with faults are simulated by internal/simulation; extend that one if needed.
 type fleet struct {
 	rng        *rand.Rand
 	set        policy.Settings
@@ -32,15 +32,15 @@
 	down       []bool // by node
 	nodes      []*policy.Sender
 	now        policy.Time
-	events     fleetEvents // to come
-	limit      float64     // calls a second that the destination takes
+	events     fleetEvents // pending events, a heap by time
+	limit      float64     // calls a second that the destination accepts
 	tokens     float64
 	filledAt   policy.Time
-	delivery   float64 // the fraction of peer messages that arrives
+	delivery   float64 // the fraction of peer messages that arrive
 	lastID     policy.MessageID
-	busyShare  float64           // the fraction of messages that come to the busy nodes beside their own
-	busyNodes  int               // the first so many nodes
-	rejecting  policy.EndpointID // rejects all calls by itself, if not 0
+	busyShare  float64           // the fraction of messages that are redirected to the busy nodes
+	busyNodes  int               // number of busy nodes, the first ones
+	rejecting  policy.EndpointID // an endpoint that rejects all calls on its own, or 0
 
 	callsToRejecting                       int
 	calls, rejected, accepted, undelivered int // since the last takeCounts
@@ -97,7 +97,7 @@
 	return f
 }
 
-// start starts a node, or starts it anew.
+// start starts or restarts a node.
 func (f *fleet) start(node int) {
 	f.seed++
 	f.nodes[node], f.down[node] = policy.New(f.set, f.seed<<16|uint64(node)), false
@@ -106,17 +106,17 @@
 	}}})
 }
 
-// schedule adds an event to come.
+// schedule adds a future event.
 func (f *fleet) schedule(event fleetEvent) { heap.Push(&f.events, event) }
 
-// kill ends a node: its events are lost.
+// kill stops a node and drops its pending events.
 func (f *fleet) kill(node int) {
 	f.down[node] = true
 	f.events = slices.DeleteFunc(f.events, func(h fleetEvent) bool { return h.node == node })
 	heap.Init(&f.events)
 }
 
-// offer lets a number of messages a second arrive, at any node, for a time.
+// offer simulates a time in which messages arrive at random nodes, at a rate a second.
 func (f *fleet) offer(rate float64, during time.Duration) {
 	for at := f.now; ; {
 		at += time.Duration(f.rng.ExpFloat64() / rate * float64(time.Second))
@@ -136,7 +136,7 @@
 	f.run(f.now + during)
 }
 
-// run lets virtual time pass until a time.
+// run advances virtual time to a time, and processes the events before it.
 func (f *fleet) run(until policy.Time) {
 	for len(f.events) > 0 && f.events[0].at < until {
 		h := heap.Pop(&f.events).(fleetEvent)
@@ -148,6 +148,7 @@
 	f.now = until
 }
 
+// execute executes an action of a node.
 func (f *fleet) execute(node int, a policy.Action) {
 	switch a := a.(type) {
 	case policy.Wake:
@@ -173,28 +174,28 @@
 		}
 		f.tokens = min(f.limit*bucketDepth, f.tokens+f.limit*(f.now-f.filledAt).Seconds())
 		f.filledAt = f.now
-		ended := policy.AttemptCompleted{Message: a.Message, Endpoint: a.Endpoint, Outcome: policy.Delivered, Final: true, Duration: fleetLatency}
+		completed := policy.AttemptCompleted{Message: a.Message, Endpoint: a.Endpoint, Outcome: policy.Delivered, Final: true, Duration: fleetLatency}
 		if f.tokens < 1 {
 			f.rejected++
-			ended.Outcome, ended.Final, ended.Duration = policy.RateLimited, false, 10*time.Millisecond
+			completed.Outcome, completed.Final, completed.Duration = policy.RateLimited, false, 10*time.Millisecond
 		} else {
 			f.accepted++
 		}
 		f.tokens = max(0, f.tokens-1)
-		f.schedule(fleetEvent{f.now + ended.Duration, node, ended})
+		f.schedule(fleetEvent{f.now + completed.Duration, node, completed})
 	}
 }
 
-// takeCounts returns the counts since the last one.
+// takeCounts returns the counts since its last call, and resets them.
 func (f *fleet) takeCounts() (calls, rejected, accepted int) {
 	calls, rejected, accepted = f.calls, f.rejected, f.accepted
 	f.calls, f.rejected, f.accepted = 0, 0, 0
 	return calls, rejected, accepted
 }
 
-// Many nodes that are offered more than the limit deliver most of what it allows, and few of their calls are
-// rejected, whatever their number, also if the configured number is wrong by a factor of four, or a third of the
-// reports is lost.
+// Nodes share a limit without coordination except reports. They could leave much of it unused, or exceed it and waste
+// calls on rejections. Under more load than the limit they must deliver most of the limit with few rejections, for any
+// number of nodes, also if the configured number of senders is wrong by a factor of four or a third of the reports is lost.
 func TestFleetAboveLimitDeliversMostOfLimit(t *testing.T) {
 	for _, c := range []struct {
 		name         string
@@ -216,12 +217,12 @@
 			limit := c.config.limit
 			c.config.seed = 3
 			f := newFleet(c.config)
-			f.offer(1.5*limit, 10*time.Second) // a start
+			f.offer(1.5*limit, 10*time.Second) // warm-up
 			f.takeCounts()
 			f.offer(1.5*limit, 20*time.Second)
 			calls, rejected, accepted := f.takeCounts()
 			if share := float64(accepted) / (20 * limit); share < c.minDelivered {
-				t.Errorf("got %.2f of the limit delivered, want %.2f at least; %d of %d calls rejected",
+				t.Errorf("delivered %.2f of the limit, want %.2f at least; %d of %d calls rejected",
 					share, c.minDelivered, rejected, calls)
 			}
 			if share := float64(rejected) / float64(calls); share > c.maxRejected {
@@ -231,8 +232,9 @@
 	}
 }
 
-// A limit that falls to a quarter and rises again costs rejections for a second or two and no more, and is used again
-// within six seconds of its rise.
+// A partner may reduce its limit and raise it again. Nodes that follow too slowly cause many rejections, or leave the
+// raised limit unused. After a drop to a quarter the rejections must be few from the third second on, and after the rise
+// most of the limit must be used again within 6 s.
 func TestFleetFollowsLimitDownAndUp(t *testing.T) {
 	f := newFleet(fleetConfig{nodes: 80, limit: 60, seed: 5})
 	f.offer(70, 10*time.Second)
@@ -243,18 +245,19 @@
 	f.offer(70, 7*time.Second)
 	calls, rejected, _ := f.takeCounts()
 	if first > 2*60 || float64(rejected) > 0.5*float64(calls) || calls > 2*7*15 {
-		t.Errorf("got %d calls rejected in the first 2 s, and %d of %d after that", first, rejected, calls)
+		t.Errorf("after the drop: got %d calls rejected in the first 2 s, and %d of %d in the next 7 s; want 120 at most, and at most half of at most 210", first, rejected, calls)
 	}
 	f.limit = 60
 	f.offer(70, 6*time.Second)
 	f.takeCounts()
 	f.offer(70, 4*time.Second)
 	if _, _, accepted := f.takeCounts(); float64(accepted) < 0.8*4*60 {
-		t.Errorf("got %[1]d of 240 calls delivered in the seventh second and the next three", accepted)
+		t.Errorf("got %d calls accepted in seconds 7 to 10 after the rise, want 192 of 240 at least", accepted)
 	}
 }
 
-// If all reports are lost each rejection counts once for each sender: the fleet still stays near the limit.
+// If all reports are lost, a sender sees only the rejections of its own calls. Each of them counts once for each sender,
+// so that the nodes together must still stay near the limit.
 func TestFleetWithoutReportsStaysNearLimit(t *testing.T) {
 	f := newFleet(fleetConfig{nodes: 80, advertised: 60, limit: 40, lossRate: 1, seed: 9})
 	f.offer(60, 10*time.Second)
@@ -262,12 +265,13 @@
 	f.offer(60, 20*time.Second)
 	calls, rejected, accepted := f.takeCounts()
 	if float64(accepted) < 0.5*20*40 || float64(rejected) > 0.6*float64(calls) {
-		t.Errorf("got %d calls, %d of them accepted and %d rejected", calls, accepted, rejected)
+		t.Errorf("got %d of %d calls accepted and %d rejected, want 400 accepted at least and 60%% rejected at most", accepted, calls, rejected)
 	}
 }
 
-// One of two endpoints that drains or fails rejects all calls before the endpoint list shows it: the limit in use stays,
-// the other endpoint gets the calls, and few go to the first for as long as it lasts.
+// An endpoint that drains or fails may reject all calls before the endpoint list shows it. If its rejections cut the quota
+// of the path, the healthy endpoint would get too few calls. The rate of accepted calls must stay, and few calls may go
+// to the rejecting endpoint. After it has recovered, the rate must stay as well.
 func TestFleetAvoidsRejectingEndpoint(t *testing.T) {
 	f := newFleet(fleetConfig{nodes: 80, limit: 60, seed: 11})
 	f.offer(50, 10*time.Second)
@@ -275,18 +279,18 @@
 	f.rejecting = 1
 	f.offer(50, 10*time.Second)
 	if _, _, accepted := f.takeCounts(); float64(accepted) < 0.85*10*50 || f.callsToRejecting > 150 {
-		t.Errorf("got %d of 500 messages accepted, %d calls wasted", accepted, f.callsToRejecting)
+		t.Errorf("got %d of 500 messages accepted and %d calls to the rejecting endpoint, want 425 at least and 150 at most", accepted, f.callsToRejecting)
 	}
 	f.rejecting, f.callsToRejecting = 0, 0
 	f.offer(50, 10*time.Second)
 	if _, _, accepted := f.takeCounts(); float64(accepted) < 0.85*10*50 {
-		t.Errorf("got %d of 500 messages accepted after it", accepted)
+		t.Errorf("got %d of 500 messages accepted after the endpoint recovered, want 425 at least", accepted)
 	}
 }
 
-// Hard cases: most nodes go and come back, one node has half of the traffic, a limit is far below a call in a window
-// for each, or falls and rises all the time. In the end most of the limit is used, and a bounded part of the calls is
-// rejected.
+// Conditions that make the estimate of the limit wrong: most nodes stop and restart, one node gets half of the traffic,
+// the limit is far below one call per window for each node, or it falls and rises repeatedly. After each, a minimum part
+// of the limit must be used, and a bounded part of the calls rejected.
 func TestFleetAfterDisruptionUsesLimit(t *testing.T) {
 	const nodes = 80
 	for _, c := range []struct {
@@ -296,7 +300,7 @@
 		span                      time.Duration
 		minDelivered, maxRejected float64 // as in TestFleetAboveLimitDeliversMostOfLimit
 	}{
-		{"seventy of eighty gone and back", 60, func(f *fleet) {
+		{"seventy of eighty nodes restart", 60, func(f *fleet) {
 			for i := range 70 {
 				f.kill(i)
 			}
@@ -306,7 +310,7 @@
 			}
 			f.offer(70, 4*time.Second)
 		}, 10 * time.Second, 0.8, 0.2},
-		{"one node has half", 60, func(f *fleet) {
+		{"one node has half of the traffic", 60, func(f *fleet) {
 			f.busyShare = 0.5
 			f.offer(70, 20*time.Second)
 		}, 10 * time.Second, 0.5, 0.2},
@@ -330,19 +334,20 @@
 			calls, rejected, accepted := f.takeCounts()
 			share, part := float64(accepted)/(c.span.Seconds()*c.limit), float64(rejected)/float64(calls)
 			if share < c.minDelivered || part > c.maxRejected {
-				t.Errorf("got %.2f of the limit delivered, %.2f of %d calls rejected", share, part, calls)
+				t.Errorf("delivered %.2f of the limit with %.2f of %d calls rejected, want %.2f at least and %.2f at most", share, part, calls, c.minDelivered, c.maxRejected)
 			}
 		})
 	}
 }
 
-// A fleet that is offered less than its limit delivers nearly all of it, also if a few of its nodes have several times
-// the mean, or one a tenth of all: a node may use what the others leave.
+// If each node could use only an equal share of the limit, busy nodes would delay messages while capacity is unused. Under
+// less load than the limit nearly all messages must be delivered, even if a few nodes get several times the mean load or
+// one node gets a tenth of it: a node may use the capacity that others leave.
 func TestFleetWithUnevenLoadDeliversNearlyAll(t *testing.T) {
 	const limit = 200
 	for _, c := range []struct {
 		nodes, busy int
-		share       float64 // of all messages comes to the busy nodes beside their own
+		share       float64 // the fraction of messages that are redirected to the busy nodes
 	}{{60, 6, 0.25}, {300, 12, 0.15}, {300, 1, 0.1}} {
 		f := newFleet(fleetConfig{nodes: c.nodes, limit: limit, seed: uint64(c.nodes + c.busy)})
 		f.busyShare, f.busyNodes = c.share, c.busy
@@ -350,14 +355,14 @@
 		f.takeCounts()
 		f.offer(0.75*limit, 12*time.Second)
 		if _, rejected, accepted := f.takeCounts(); float64(accepted) < 0.97*0.75*12*limit || rejected > accepted/10 {
-			t.Errorf("%d busy nodes of %d: of %.0f messages got %d accepted, %d calls rejected",
-				c.busy, c.nodes, 0.75*12*limit, accepted, rejected)
+			t.Errorf("%d busy nodes of %d: got %d of %.0f messages accepted and %d calls rejected, want 97%% at least and a tenth of the accepted ones at most",
+				c.busy, c.nodes, accepted, 0.75*12*limit, rejected)
 		}
 	}
 }
 
-// Whatever the number of nodes, and whatever part of a limit is remaining, the calls that are rejected until all nodes have
-// followed it are bounded by the limit before, and not by the number of nodes.
+// When a limit drops, the calls that are rejected until all nodes follow must be bounded by the former limit. If each node
+// had to see rejections of its own, they would grow with the number of nodes.
 func TestFleetRejectionsAfterLimitDropAreBounded(t *testing.T) {
 	const limit = 60
 	for _, nodes := range []int{16, 33, 80, 200} {
@@ -370,10 +375,11 @@
 			_, first, _ := f.takeCounts()
 			f.offer(1.2*limit, 4*time.Second)
 			_, later, _ := f.takeCounts()
-			// R (1-q) ln(1/q) until the level has followed, see docs/design/fleet.md, and the calls of a second and a half for chance.
+			// R (1-q) ln(1/q) rejections until the level has followed, with the former limit R and the remaining part q: see
+			// docs/design/fleet.md. The calls of 1.5 s at the former limit are a margin for chance.
 			bound := limit*(1-remaining)*math.Log(1/remaining) + 1.5*limit
 			if float64(first) > bound || later > limit {
-				t.Errorf("%d nodes, %.2f of the limit remaining: got %d calls rejected in 4 s, and %d in the next 4", nodes, remaining, first, later)
+				t.Errorf("%d nodes, %.2f of the limit remaining: got %d calls rejected in 4 s and %d in the next 4 s, want %.0f and %d at most", nodes, remaining, first, later, bound, limit)
 			}
 		}
 	}
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -8,16 +8,16 @@
 	"wingmount/internal/estimate"
 )
 
-// harness drives one sender by hand; a test ends its calls.
+// harness drives one sender step by step. The test completes its attempts.
 type harness struct {
 	t           *testing.T
 	s           *Sender
 	now         Time
 	id          MessageID
-	outstanding []Send // not yet ended
+	outstanding []Send // attempts that are not completed, oldest first
 }
 
-// testDestination is the destination 0 of a harness, with endpoints 1, 2, ... in zones 0 and 1 by turns.
+// testDestination describes destination 0 of a harness. Its endpoints 1, 2, ... are alternately in zones 0 and 1.
 type testDestination struct {
 	kind      int // index of Settings.Kinds
 	endpoints int
@@ -39,6 +39,7 @@
 	return h
 }
 
+// step passes events to the sender, and records its sends.
 func (h *harness) step(events ...Event) []Action {
 	actions := h.s.Step(h.now, events, nil)
 	for _, a := range actions {
@@ -49,29 +50,32 @@
 	return actions
 }
 
+// arrive passes a new message of a class to the sender.
 func (h *harness) arrive(class int) []Action {
 	h.id++
 	return h.step(Arrived{Message: h.id, Class: class, GiveUpAt: h.now + h.s.settings.Classes[class].Deadline})
 }
 
 // finish completes the oldest outstanding attempt.
-func (h *harness) finish(o Outcome, wait time.Duration) []Action {
+func (h *harness) finish(o Outcome, retryAfter time.Duration) []Action {
 	h.t.Helper()
 	if len(h.outstanding) == 0 {
-		h.t.Fatal("got no outstanding attempt")
+		h.t.Fatal("got no outstanding attempt to complete")
 	}
 	s := h.outstanding[0]
 	h.outstanding = h.outstanding[1:]
 	return h.step(AttemptCompleted{
-		Message: s.Message, Endpoint: s.Endpoint, Outcome: o, RetryAfter: wait,
+		Message: s.Message, Endpoint: s.Endpoint, Outcome: o, RetryAfter: retryAfter,
 		Final: o == Delivered, Duration: 100 * time.Millisecond,
 	})
 }
 
+// wait advances the time and wakes the sender.
 func (h *harness) wait(d time.Duration) { h.now += d; h.step(Woken{}) }
 
 func (h *harness) path() *path { return h.s.activeDestination(0).paths[0] }
 
+// countActions returns the number of actions of a type.
 func countActions[T Action](actions []Action) int {
 	n := 0
 	for _, a := range actions {
@@ -86,10 +90,10 @@
 	l := container.Window{Span: 2 * time.Second}
 	l.Record(10 * time.Second)
 	if n := l.Count(12*time.Second - 1); n != 1 {
-		t.Errorf("%d entries just before a window has passed, want 1", n)
+		t.Errorf("got %d calls just before a window has passed, want 1", n)
 	}
 	if n := l.Count(12 * time.Second); n != 0 {
-		t.Errorf("%d entries exactly a window later, want 0", n)
+		t.Errorf("got %d calls exactly a window later, want 0", n)
 	}
 }
 
@@ -97,7 +101,7 @@
 	set := testSettings()
 	set.RateAccuracy, set.Senders = RateExact, 4
 	if got := newHarness(t, set, testDestination{endpoints: 1, rate: 12}).path().limiter.allotment; got != 6 {
-		t.Errorf("got allotment %v for 12 a second over 4 senders, want 6 in 2 s", got)
+		t.Errorf("got allotment %v for 12 calls a second shared by 4 senders, want 6 in 2 s", got)
 	}
 	if got := newHarness(t, set, testDestination{endpoints: 1, rate: 1}).path().limiter.allotment; got != 1 {
 		t.Errorf("got allotment %v for a low rate, want 1", got)
@@ -117,17 +121,17 @@
 	}
 	h.s.now = h.now + narrowWindow - 1
 	if h.s.allowsCall(p) {
-		t.Error("got capacity with the narrow count at the allotment")
+		t.Error("got a call allowed while the narrow window contains the allotment, want none")
 	}
 	h.s.now++
 	if !h.s.allowsCall(p) {
-		t.Error("got no capacity once the oldest calls are a window old")
+		t.Error("got no call allowed once the oldest calls are a window old, want one")
 	}
 	for range 18 {
 		p.limiter.wide.Record(h.s.now)
 	}
 	if h.s.allowsCall(p) {
-		t.Error("got capacity with the wide count at six allotments")
+		t.Error("got a call allowed while the wide window contains six allotments, want none")
 	}
 }
 
@@ -163,11 +167,12 @@
 		t.Errorf("got allotment %v after a rejection right after another, want %v", p.limiter.allotment, want)
 	}
 	p.limiter.allotment, p.limiter.allotmentBeforeRun = 1/float64(h.s.settings.Senders), 0
-	p.limiter.wide = container.Window{Span: p.limiter.wide.Span} // it counts calls under the larger allotment
+	// The wide window still counts the calls that the larger allotment allowed.
+	p.limiter.wide = container.Window{Span: p.limiter.wide.Span}
 	h.wait(4 * time.Second)
 	h.finish(RateLimited, 0)
 	if p.limiter.allotment < 1/float64(h.s.settings.Senders) {
-		t.Errorf("got allotment %v, want one call for all senders at least", p.limiter.allotment)
+		t.Errorf("got allotment %v, want at least one call for all senders together", p.limiter.allotment)
 	}
 }
 
@@ -178,14 +183,14 @@
 	h.arrive(0)
 	h.finish(Delivered, 0)
 	if p.limiter.allotment != 5 {
-		t.Errorf("got allotment %v, want 5: it was not exhausted", p.limiter.allotment)
+		t.Errorf("got allotment %v after a success that did not exhaust it, want 5 as before", p.limiter.allotment)
 	}
 	p.limiter.allotment = 1
 	h.wait(3 * time.Second)
 	h.arrive(0)
 	h.finish(Delivered, 0)
 	if math.Abs(p.limiter.allotment-1-maxAllotmentGrowth) > 1e-9 {
-		t.Errorf("got allotment %v, want %v", p.limiter.allotment, 1+maxAllotmentGrowth)
+		t.Errorf("got allotment %v after a success that exhausted it, want %v", p.limiter.allotment, 1+maxAllotmentGrowth)
 	}
 }
 
@@ -210,15 +215,16 @@
 	h.arrive(0)
 	h.wait(time.Second - 1)
 	if len(h.outstanding) != 0 {
-		t.Fatal("got a send before the end of Retry-After")
+		t.Fatal("got a send before Retry-After has passed, want none")
 	}
 	h.wait(narrowWindow)
 	if len(h.outstanding) == 0 {
-		t.Error("got no send after Retry-After")
+		t.Error("got no send after Retry-After has passed, want one")
 	}
 }
 
-// A message of a batch may time out before the outcome of another brings a Retry-After.
+// The messages of a batch complete separately: one may time out before the outcome of another contains a Retry-After. The
+// health of the endpoint counts only the first outcome, but the Retry-After must still pause the path.
 func TestRetryAfterOfLaterBatchOutcomeApplies(t *testing.T) {
 	h := newHarness(t, testSettings(), testDestination{kind: 1, endpoints: 1})
 	h.path().limiter.closedUntil = h.now + 1
@@ -228,7 +234,7 @@
 	h.finish(TimedOut, 0)
 	h.finish(RateLimited, 3*time.Second)
 	if until := h.path().limiter.closedUntil; until < h.now+3*time.Second {
-		t.Errorf("got a path closed until %v, want 3 s from %v", until, h.now)
+		t.Errorf("got a path closed until %v, want at least 3 s after %v", until, h.now)
 	}
 }
 
@@ -243,7 +249,7 @@
 }
 
 func TestFeeIsPaidOnlyIfWaitingCostsMore(t *testing.T) {
-	// Endpoint 1 has a fee, 2 has none.
+	// Endpoint 1 has a fee and endpoint 2 has none.
 	h := newHarness(t, testSettings(), testDestination{kind: 2, endpoints: 2})
 	h.arrive(1)
 	if h.outstanding[0].Endpoint != 2 {
@@ -252,12 +258,12 @@
 	h.s.activeDestination(0).paths[1].limiter.closedUntil = h.now + 100*time.Millisecond
 	h.arrive(1)
 	if len(h.outstanding) != 1 {
-		t.Error("got a fee paid to save a short wait within the soft deadline")
+		t.Error("got a send with a fee that saves only a short wait within the soft deadline, want none")
 	}
 	h.s.activeDestination(0).paths[1].limiter.closedUntil = h.now + 10*time.Second
 	h.wait(time.Millisecond)
 	if len(h.outstanding) != 2 || h.outstanding[1].Endpoint != 1 {
-		t.Errorf("got sends %v, want the route with a fee where waiting costs more", h.outstanding)
+		t.Errorf("got sends %v, want one on the route with a fee because waiting costs more", h.outstanding)
 	}
 }
 
@@ -273,22 +279,24 @@
 	}
 }
 
-// The rate limit counts starts only, so it does not bound the slots of a hanging destination.
+// The rate limit counts only the starts of calls, so without a further limit a destination whose calls hang would occupy
+// all slots. It may use half of them.
 func TestHangingDestinationLeavesSlotsForOthers(t *testing.T) {
 	h := newHarness(t, testSettings(), testDestination{endpoints: 1})
 	for range 20 {
 		h.arrive(1)
 	}
 	if n := len(h.outstanding); n != 3 {
-		t.Errorf("got %d of 6 slots for one destination, want half", n)
+		t.Errorf("got %d of 6 slots used by one destination, want 3", n)
 	}
 	h.wait(4 * time.Second)
 	if !h.s.isStalled(h.path().endpoints[0]) {
-		t.Error("got an endpoint that is not stalled after 4 s without an answer")
+		t.Error("got an endpoint that is not stalled after 4 s without a response, want it stalled")
 	}
 }
 
-// Many endpoints may hang at once; calls to suspects leave slots to the others.
+// Many endpoints may hang at the same time. Calls to suspect endpoints must not occupy the slots that healthy endpoints
+// need.
 func TestSuspectEndpointsLeaveSlotsForOthers(t *testing.T) {
 	set := testSettings()
 	set.Slots = 8
@@ -327,7 +335,7 @@
 		h.finish(Unreachable, 0)
 	}
 	sends := 0
-	for range 100 { // ten seconds
+	for range 100 { // 10 s
 		h.wait(100 * time.Millisecond)
 		sends += len(h.outstanding)
 		if len(h.outstanding) > 1 {
@@ -343,11 +351,12 @@
 	}
 }
 
-// The backlog of a destination that is still warming up would overload it.
+// During an outage a backlog accumulates. Sent at once, it would overload the destination, which is still warming up after
+// its recovery. The recovery ramp must keep this sender below the overload threshold.
 func TestRecoveryRampStaysWithinBudget(t *testing.T) {
 	h := newHarness(t, testSettings(), testDestination{endpoints: 1})
 	p, e := h.path(), h.path().endpoints[0]
-	p.successes.Peak = 24 // calls of this sender in a narrow window before
+	p.successes.Peak = 24 // accepted calls of this sender in its best narrow window before the outage
 	e.circuit.open, e.circuit.sawError, e.circuit.openedAt, e.circuit.unhealthySince = true, true, h.now-10*time.Second, h.now-10*time.Second
 	e.circuit.failureScore = 1
 	for range 30 {
@@ -355,7 +364,7 @@
 	}
 	h.finish(Delivered, 0) // the probe
 	if !e.ramp.active {
-		t.Fatal("got no recovery ramp")
+		t.Fatal("got no recovery ramp after a successful probe, want one")
 	}
 	start, set := h.now, h.s.settings
 	sent := []Time{start}
@@ -370,10 +379,10 @@
 				n++
 			}
 		}
-		bears := set.OverloadFactor * h.s.warmUpFactor(start) * float64(p.successes.Peak) / narrowWindow.Seconds() * set.OverloadWindow.Seconds()
-		if float64(n) > bears {
-			t.Fatalf("%v after the return: got %d calls in an overload window, want %.1f at most from this sender",
-				h.now-start, n, bears)
+		threshold := set.OverloadFactor * h.s.warmUpFactor(start) * float64(p.successes.Peak) / narrowWindow.Seconds() * set.OverloadWindow.Seconds()
+		if float64(n) > threshold {
+			t.Fatalf("%v after the recovery: got %d calls in an overload window, want %.1f at most from this sender",
+				h.now-start, n, threshold)
 		}
 		h.wait(20 * time.Millisecond)
 	}
@@ -382,29 +391,30 @@
 	}
 	h.s.now = start + set.WarmUp
 	if w := h.s.warmUpFactor(start); w != 1 {
-		t.Errorf("got warm-up factor %v after the warm-up, want 1", w)
+		t.Errorf("got warm-up factor %v after the warm-up time, want 1", w)
 	}
 }
 
-// Single lost calls start no recovery ramp, errors do.
+// A few lost calls may open a circuit although there was no outage. A recovery ramp would then limit a healthy endpoint. A
+// success must start a ramp only after errors, or after a long time without a success.
 func TestRecoveryRampStartsOnlyAfterOutage(t *testing.T) {
 	for _, c := range []struct {
-		name   string
-		broken bool
-		silent time.Duration
-		ramp   bool
+		name             string
+		sawError         bool
+		sinceLastSuccess time.Duration
+		rampActive       bool
 	}{
 		{"a few lost calls", false, time.Second, false},
-		{"long silence", false, 10 * time.Second, true},
+		{"no success for long", false, 10 * time.Second, true},
 		{"errors", true, time.Second, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			h := newHarness(t, testSettings(), testDestination{endpoints: 1})
 			e := h.path().endpoints[0]
-			e.circuit.open, e.circuit.sawError, e.circuit.lastSuccessAt = true, c.broken, h.now-c.silent
+			e.circuit.open, e.circuit.sawError, e.circuit.lastSuccessAt = true, c.sawError, h.now-c.sinceLastSuccess
 			h.s.recordSuccess(e, 100*time.Millisecond)
-			if e.ramp.active != c.ramp {
-				t.Errorf("got ramp active %v, want %v", e.ramp.active, c.ramp)
+			if e.ramp.active != c.rampActive {
+				t.Errorf("got ramp active %v, want %v", e.ramp.active, c.rampActive)
 			}
 		})
 	}
@@ -419,27 +429,28 @@
 		t.Error("got a closed circuit after a Retry-After longer than a window, want it open")
 	}
 	if h.path().limiter.allotment != 5 {
-		t.Errorf("got allotment %v, want 5 as before", h.path().limiter.allotment)
+		t.Errorf("got allotment %v after a long Retry-After, want 5 as before", h.path().limiter.allotment)
 	}
 }
 
-// Calls to healthy endpoints must not delay probes of another.
+// One endpoint of a destination is in an outage while another is healthy. The calls to the healthy one must not delay
+// probes of the other, which would otherwise never be used again.
 func TestPartialOutageIsProbed(t *testing.T) {
 	h := newHarness(t, testSettings(), testDestination{endpoints: 2})
 	e := h.path().endpoints[0]
 	e.circuit.open, e.circuit.failureScore = true, 1
 	h.path().nextProbeAt = h.now + h.s.settings.OverloadWindow
-	tried := false
+	probed := false
 	for range 40 {
 		h.arrive(0)
 		for len(h.outstanding) > 0 {
-			tried = tried || h.outstanding[0].Endpoint == e.id
+			probed = probed || h.outstanding[0].Endpoint == e.id
 			h.finish(Delivered, 0)
 		}
 		h.wait(100 * time.Millisecond)
 	}
-	if !tried {
-		t.Error("got no probe in 4 s while the other endpoint works")
+	if !probed {
+		t.Error("got no probe in 4 s while the other endpoint is healthy, want one")
 	}
 }
 
@@ -450,7 +461,7 @@
 	h.finish(Failed, 0)
 	h.wait(backoffBase)
 	if len(h.outstanding) != 1 || h.outstanding[0].Endpoint == first {
-		t.Errorf("got sends %v, want the endpoint other than %d", h.outstanding, first)
+		t.Errorf("got sends %v, want one to an endpoint other than %d", h.outstanding, first)
 	}
 }
 
@@ -471,18 +482,18 @@
 	if next := h.s.attemptTimeout(e, m, 1); next <= one {
 		t.Errorf("got timeout %v after a timeout, want more than %v", next, one)
 	}
-	// A lost call occupies a slot until its timeout: fast endpoints get a short one.
+	// A lost call occupies a slot until its timeout, so fast endpoints get a short timeout.
 	if want := minTimeoutLatencies * p.latency.Mean; one < want || one >= maxTimeoutFloor {
-		t.Errorf("got timeout %v at 10 ms, want %v at least and less than %v", one, want, maxTimeoutFloor)
+		t.Errorf("got timeout %v at a latency of 10 ms, want %v at least and less than %v", one, want, maxTimeoutFloor)
 	}
 	p.latency.Mean, p.latency.Deviation = 300*time.Millisecond, 10*time.Millisecond
 	if one = h.s.attemptTimeout(e, m, 1); one < maxTimeoutFloor {
-		t.Errorf("got timeout %v at 300 ms, want %v at least", one, maxTimeoutFloor)
+		t.Errorf("got timeout %v at a latency of 300 ms, want %v at least", one, maxTimeoutFloor)
 	}
 }
 
-// A call that gets no answer, or breaks, while later ones are answered was lost by itself: hundreds of
-// such calls must neither open the circuit nor start a recovery ramp.
+// A call that times out or is reset although a later call succeeded was lost on its own. Even many such calls must neither
+// count as failures of the endpoint, nor open its circuit, nor start a recovery ramp.
 func TestLostCallsDoNotOpenCircuit(t *testing.T) {
 	for _, o := range []Outcome{TimedOut, Reset} {
 		h := newHarness(t, testSettings(), testDestination{endpoints: 1})
@@ -496,10 +507,10 @@
 			}
 			h.outstanding[0], h.outstanding[1] = h.outstanding[1], h.outstanding[0]
 			h.now += h.s.settings.Tick
-			h.finish(Delivered, 0) // the second
+			h.finish(Delivered, 0) // the second call
 			h.finish(o, 0)
 			if e.circuit.open || e.circuit.suspect || e.ramp.active || e.circuit.failureScore > 0 {
-				t.Fatalf("got a failure of the endpoint after outcome %v of a lost call, want none", o)
+				t.Fatalf("got a failure recorded for the endpoint after outcome %v of a lost call, want none", o)
 			}
 			h.wait(backoffMax)
 			h.finish(Delivered, 0)
@@ -507,7 +518,8 @@
 	}
 }
 
-// Silence, with no answer for two overload windows, is an outage though timeouts weigh little.
+// Timeouts have little weight in the failure score, because single calls get lost. An endpoint that does not respond at
+// all must still be detected: two timeouts without a success for two overload windows open its circuit.
 func TestConsecutiveTimeoutsWithoutSuccessOpenCircuit(t *testing.T) {
 	h := newHarness(t, testSettings(), testDestination{endpoints: 1})
 	e := h.path().endpoints[0]
@@ -517,16 +529,17 @@
 		h.now += outageWindows * h.s.settings.OverloadWindow
 		h.arrive(0)
 		if e.circuit.open {
-			t.Fatal("got an open circuit after one timeout")
+			t.Fatal("got an open circuit after at most one timeout, want it closed")
 		}
 		h.finish(TimedOut, 0)
 	}
 	if !e.circuit.open {
-		t.Error("got a closed circuit after two timeouts and no answer for long")
+		t.Error("got a closed circuit after two timeouts without a recent success, want it open")
 	}
 }
 
-// While an endpoint warms up one failure is chance; after two in a row it was not back yet.
+// While an endpoint warms up, a single failure may be a lost call. After two in a row the endpoint had not recovered yet:
+// the warm-up must restart, or its ramp would allow too many calls.
 func TestWarmUpRestartsAfterTwoFailures(t *testing.T) {
 	h := newHarness(t, testSettings(), testDestination{endpoints: 1})
 	e := h.path().endpoints[0]
@@ -537,21 +550,21 @@
 	h.step(Woken{})
 	h.s.recordOutcome(c, TimedOut, 0, 0)
 	if e.ramp.startedAt != from {
-		t.Error("got a new warm-up after one failure")
+		t.Error("got a restarted warm-up after one failure, want the former one")
 	}
 	h.s.recordOutcome(c, TimedOut, 0, 0)
 	if e.ramp.startedAt == from {
-		t.Error("got no new warm-up after two failures in a row")
+		t.Error("got the former warm-up after two failures in a row, want it restarted")
 	}
 }
 
 func TestPathIsSlowOnlyRelativeToOthers(t *testing.T) {
 	l := estimate.Latency{Mean: 4 * time.Second, Baseline: time.Second}
 	if !l.Slow(slowLatencyRatio) {
-		t.Error("got not slow at four times its baseline while the others are at theirs")
+		t.Error("got not slow at four times the baseline while other paths are at theirs, want slow")
 	}
 	if l.Slow(slowLatencyRatio * 3) {
-		t.Error("got slow though all others are as slow")
+		t.Error("got slow at four times the baseline while other paths are at three times theirs, want not slow")
 	}
 }
 
@@ -560,12 +573,12 @@
 	set.MaxInFlight = 20
 	h := newHarness(t, set, testDestination{endpoints: 1})
 	h.path().limiter.closedUntil = h.now + time.Hour
-	refused := 0
+	rejected := 0
 	for range 30 {
-		refused += countActions[Reject](h.arrive(0))
+		rejected += countActions[Reject](h.arrive(0))
 	}
-	if refused == 0 || h.s.queues.deadline.Len() >= set.MaxInFlight {
-		t.Errorf("got %d rejected, %d of %d in flight; want some rejected before capacity is full", refused, h.s.queues.deadline.Len(), set.MaxInFlight)
+	if rejected == 0 || h.s.queues.deadline.Len() >= set.MaxInFlight {
+		t.Errorf("got %d messages rejected and %d of %d in flight, want some rejected before the capacity is full", rejected, h.s.queues.deadline.Len(), set.MaxInFlight)
 	}
 }
 
@@ -576,26 +589,27 @@
 	giveUp := first.Value.giveUpAt
 	h.now = giveUp - h.s.settings.Tick - 1
 	if n := countActions[Fail](h.step(Woken{})); n != 0 {
-		t.Error("got a failure before its time")
+		t.Errorf("got %d messages failed earlier than a tick before giveUpAt, want 0", n)
 	}
 	h.now++
 	if n := countActions[Fail](h.step(Woken{})); n != 1 {
-		t.Error("got no failure a tick before the deadline, with an outstanding attempt that may run")
+		t.Errorf("got %d messages failed a tick before giveUpAt with an outstanding attempt, want 1", n)
 	}
 }
 
 func TestMessageWithoutEndpointsIsGivenUp(t *testing.T) {
 	h := &harness{t: t, s: New(testSettings(), 1), now: time.Hour}
 	if n := len(h.arrive(0)); n != 1 {
-		t.Errorf("got %d actions for a message without endpoints, want a wake", n)
+		t.Errorf("got %d actions for a message without endpoints, want 1 (a wake-up)", n)
 	}
 	h.wait(5 * time.Second)
 	if h.s.queues.deadline.Len() != 0 {
-		t.Error("got a message that is not given up")
+		t.Error("got a message without endpoints unfinished after its deadline, want it given up")
 	}
 }
 
-// A crash resets calls, but so may a destination that is up.
+// A reset may come from a crash, but also from a destination that is up. The endpoint must be probed as soon as the
+// backoff is over, and a success must not start a recovery ramp.
 func TestResetIsProbedAtOnceAndStartsNoRamp(t *testing.T) {
 	h := newHarness(t, testSettings(), testDestination{endpoints: 1})
 	h.arrive(0)
@@ -608,12 +622,12 @@
 	}
 	h.finish(Delivered, 0)
 	if h.path().endpoints[0].ramp.active {
-		t.Error("got a recovery ramp after one reset between two answers")
+		t.Error("got a recovery ramp after one reset between two successes, want none")
 	}
 }
 
-// A cached connection that breaks shows nothing about its endpoint, however many do. One reset of
-// another kind is no outage, two in a row are.
+// A partner may close cached connections at any time, so resets of stale connections give no information about the
+// endpoint, however many there are. A single other reset must not open the circuit, two in a row must.
 func TestOnlyConsecutiveResetsOpenCircuit(t *testing.T) {
 	h := newHarness(t, testSettings(), testDestination{endpoints: 1})
 	e := h.path().endpoints[0]
@@ -623,7 +637,7 @@
 		h.outstanding = h.outstanding[1:]
 		h.step(AttemptCompleted{Message: s.Message, Endpoint: s.Endpoint, Outcome: Reset, StaleConnection: true})
 		if e.circuit.suspect || e.circuit.open || e.circuit.failureScore > 0 {
-			t.Fatalf("got a failure after a reset of a stale connection: %+v", e)
+			t.Fatalf("got a failure recorded after a reset of a stale connection, want none: %+v", e)
 		}
 		h.wait(backoffMax)
 		h.finish(Delivered, 0)
@@ -636,7 +650,7 @@
 	h.wait(backoffMax)
 	h.finish(Reset, 0)
 	if !e.circuit.open {
-		t.Error("got a closed circuit after two resets in a row")
+		t.Error("got a closed circuit after two resets in a row, want it open")
 	}
 }
 
@@ -645,19 +659,20 @@
 	h.path().endpoints[0].circuit.suspect = true
 	h.arrive(3)
 	if len(h.outstanding) != 0 {
-		t.Error("got an AtMostOnce message sent to an endpoint that just failed")
+		t.Error("got an AtMostOnce message sent to a suspect endpoint, want it to wait")
 	}
 	h.arrive(0)
 	if len(h.outstanding) != 1 {
-		t.Fatal("got no send of the idempotent message")
+		t.Fatal("got no send of the idempotent message to a suspect endpoint, want one")
 	}
 	h.finish(Delivered, 0)
 	if len(h.outstanding) != 1 {
-		t.Error("got an AtMostOnce message that still waits after a success")
+		t.Error("got an AtMostOnce message that still waits after a success, want it sent")
 	}
 }
 
-// The only endpoint that is back gets no more than its part of the budget, also when the others are removed.
+// After an outage a single endpoint may have recovered. If it got the ramp budget of the whole path it would be
+// overloaded. It must get only its share, even after the other endpoints have been removed.
 func TestRecoveredEndpointGetsItsShareOfRampBudget(t *testing.T) {
 	h := newHarness(t, testSettings(), testDestination{endpoints: 4})
 	h.path().successes.Peak = 40
@@ -668,7 +683,7 @@
 	e.ramp.calls.Record(h.now)
 	h.s.rampAllows(e)
 	if got, want := e.ramp.calls.Span, time.Duration(4*float64(h.s.settings.OverloadWindow)/full); got < want-1 || got > want+1 {
-		t.Errorf("got a call each %v to one of four endpoints, want %v", got, want)
+		t.Errorf("got %v between two calls to one of four endpoints, want %v", got, want)
 	}
 }
 
@@ -676,11 +691,12 @@
 	h := newHarness(t, testSettings(), testDestination{endpoints: 1})
 	h.arrive(0)
 	if n := countActions[CloseIdle](h.finish(TimedOut, 0)); n != 1 {
-		t.Errorf("got %d CloseIdle after a timeout, want 1", n)
+		t.Errorf("got %d CloseIdle actions after a timeout, want 1", n)
 	}
 }
 
-// A replacement that joins during an outage would get all of the queue at once.
+// An endpoint that is added during an outage may be a replacement that is still warming up. With a closed circuit it would
+// get the whole queue at once. It must be probed first.
 func TestEndpointAddedDuringOutageIsProbedFirst(t *testing.T) {
 	for _, state := range []EndpointState{Ready, Draining, Removed} {
 		h := newHarness(t, testSettings(), testDestination{endpoints: 1})
@@ -693,7 +709,7 @@
 		h.step(EndpointUpdate{Entries: []Entry{{Endpoint: 1, State: state}, {Endpoint: 9, State: Ready}}})
 		h.wait(time.Second)
 		if len(h.outstanding) != 1 {
-			t.Errorf("state %d of the old endpoint: got %d sends to the new one, want a probe", state, len(h.outstanding))
+			t.Errorf("old endpoint in state %d: got %d sends to the new one, want 1 (a probe)", state, len(h.outstanding))
 		}
 		h.outstanding = h.outstanding[len(h.outstanding):]
 	}
@@ -704,7 +720,7 @@
 	h.path().endpoints[0].circuit.open = true
 	h.step(EndpointUpdate{Entries: []Entry{{Endpoint: 9, State: Ready}}})
 	if h.s.activeEndpoint(9).circuit.open {
-		t.Error("got an open circuit though another endpoint of the destination works")
+		t.Error("got an open circuit of a new endpoint while another one is healthy, want it closed")
 	}
 }
 
@@ -716,19 +732,20 @@
 		t.Fatalf("got %d subscriptions at the start, want 1", n)
 	}
 	if n := countActions[Subscribe](h.step(SubscriptionFailed{})); n != 0 {
-		t.Error("got a subscription in the same step as the failure")
+		t.Error("got a subscription in the same step as the failure, want none before the backoff")
 	}
 	h.now += backoffMax
 	if n := countActions[Subscribe](h.step(Woken{})); n != 1 {
-		t.Error("got no subscription after a failure")
+		t.Errorf("got %d subscriptions after the backoff, want 1", n)
 	}
 	h.now += time.Hour
 	if n := countActions[Subscribe](h.step()); n != 0 {
-		t.Error("got a second subscription")
+		t.Errorf("got %d further subscriptions while one is active, want 0", n)
 	}
 }
 
-// Where many senders share a small limit, one call a window from each keeps it exhausted.
+// If many senders share a small limit, one call per window from each sender keeps the limit exhausted. An allotment below
+// one call must therefore lengthen both windows.
 func TestAllotmentUnderOneCallLengthensBothWindows(t *testing.T) {
 	set := testSettings()
 	set.Senders = 400
@@ -740,14 +757,14 @@
 		t.Errorf("got a narrow window of %v for a quarter of a call in 2 s, want %v to %v", p.limiter.narrow.Span, least, most)
 	}
 	if ratio := float64(p.limiter.wide.Span) / float64(p.limiter.narrow.Span); math.Abs(ratio-6) > 1e-6 {
-		t.Errorf("got windows of %v and %v, want the same ratio", p.limiter.narrow.Span, p.limiter.wide.Span)
+		t.Errorf("got windows of %v and %v, want the ratio 6", p.limiter.narrow.Span, p.limiter.wide.Span)
 	}
 	p.limiter.narrow.Record(h.now)
 	if h.s.now += p.limiter.narrow.Span - 1; h.s.allowsCall(p) {
-		t.Error("got capacity before the longer window has passed")
+		t.Error("got a call allowed before the longer window has passed, want none")
 	}
 	if h.s.now++; !h.s.allowsCall(p) {
-		t.Error("got no capacity after it")
+		t.Error("got no call allowed after the longer window has passed, want one")
 	}
 	h.s.recordRateLimit(p.endpoints[0], h.s.now, 0)
 	if want := 0.25 * h.s.lowAllotmentCut; math.Abs(p.limiter.allotment-want) > 1e-9 {
@@ -755,7 +772,8 @@
 	}
 }
 
-// One call in each overload window from each of many senders overloads a destination that warms up.
+// One probe per overload window from each of many senders overloads a destination that warms up. Probes must be spaced
+// further apart the more senders there are.
 func TestProbesOfManySendersAreSpaced(t *testing.T) {
 	for _, senders := range []int{2, 400} {
 		set := testSettings()
@@ -765,21 +783,23 @@
 		e.circuit.open, e.circuit.openedAt, e.circuit.unhealthySince, h.s.now = true, h.now-10*time.Second, h.now-10*time.Second, h.now
 		least := set.OverloadWindow
 		if senders > 10 {
-			least = 10 * time.Second // as long as the outage has lasted
+			least = 10 * time.Second // the time that the outage has lasted
 		}
 		if gap := h.s.probeInterval(e); gap < least || senders == 2 && gap > 3*least {
-			t.Errorf("%d senders: got probes %v apart, want %v at least", senders, gap, least)
+			t.Errorf("%d senders: got a probe interval of %v, want %v at least, and 3 times that at most for 2 senders", senders, gap, least)
 		}
 	}
 }
 
+// reportingSettings returns settings with 400 senders that report to each other.
 func reportingSettings() Settings {
 	set := testSettings()
 	set.Senders, set.PeerMessages = 400, true
 	return set
 }
 
-// Without reports, each of the other senders would learn of an outage by a failure of its own.
+// Without reports each of hundreds of senders would detect an outage by a failed call of its own, and would send its
+// backlog at full rate after the recovery.
 func TestOutageAndRecoveryAreReported(t *testing.T) {
 	h := newHarness(t, reportingSettings(), testDestination{endpoints: 1})
 	h.arrive(0)
@@ -798,40 +818,42 @@
 		t.Fatal("got a closed circuit after a report of an outage")
 	}
 	if c.arrive(0); len(c.outstanding) != 0 {
-		t.Error("got a send at once after a report of an outage")
+		t.Error("got a send immediately after a report of an outage, want none")
 	}
 	c.step(PeerMessage{Tag: TagOf(e.id), Event: PeerSlowStart})
 	if e.circuit.open || !e.ramp.active {
-		t.Error("got no recovery ramp after a report of a slow start")
+		t.Errorf("got circuit open %v and ramp active %v after a report of a slow start, want false and true", e.circuit.open, e.ramp.active)
 	}
 	c.step(PeerMessage{Tag: 1<<TagBits - 1, Event: PeerDown}) // an unknown endpoint
 }
 
-// If a report names an endpoint that others probe, this sender leaves probes to them for that long,
-// also when it found the outage itself; an own success of late still weighs more.
+// A report with a ProbeDelay means that other senders probe the endpoint. If this sender probed it too, all senders
+// together would send too many probes. It must wait for the delay even if it detected the outage itself. A recent success
+// of its own must outweigh such a report.
 func TestProbesAreLeftToReportingPeer(t *testing.T) {
 	h := newHarness(t, testSettings(), testDestination{endpoints: 1})
 	e := h.path().endpoints[0]
 	h.arrive(0)
 	h.finish(Unreachable, 0)
-	had := e.path.nextProbeAt
-	if h.step(PeerMessage{Endpoint: e.id, Event: PeerDown}); !e.circuit.open || e.path.nextProbeAt != had {
-		t.Errorf("got the probe moved from %v to %v by a report of a known outage", had, e.path.nextProbeAt)
+	nextProbeAt := e.path.nextProbeAt
+	if h.step(PeerMessage{Endpoint: e.id, Event: PeerDown}); !e.circuit.open || e.path.nextProbeAt != nextProbeAt {
+		t.Errorf("got circuit open %v and the probe moved from %v to %v by a report of a known outage, want an open circuit and no change", e.circuit.open, nextProbeAt, e.path.nextProbeAt)
 	}
 	if h.step(PeerMessage{Endpoint: e.id, Event: PeerDown, ProbeDelay: time.Minute}); e.path.nextProbeAt != h.now+time.Minute {
-		t.Errorf("got the next probe at %v, want a minute after %v", e.path.nextProbeAt, h.now)
+		t.Errorf("got the next probe at %v, want it 1 minute after %v", e.path.nextProbeAt, h.now)
 	}
 	c := newHarness(t, testSettings(), testDestination{endpoints: 1})
 	e = c.path().endpoints[0]
 	c.arrive(0)
 	c.finish(Delivered, 0)
 	if c.step(PeerMessage{Endpoint: e.id, Event: PeerDown, ProbeDelay: time.Minute}); e.circuit.open {
-		t.Error("got an open circuit though the endpoint has just answered")
+		t.Error("got an open circuit by a report right after a success, want it closed")
 	}
 	c.step(PeerMessage{Endpoint: e.id + 1000, Event: PeerDown, ProbeDelay: time.Minute}) // an unknown endpoint
 }
 
-// The first calls of many senders are enough to keep a limit exhausted that counts rejected calls.
+// If a limit counts rejected calls, the first calls of many senders are enough to keep it exhausted. A rejection must
+// therefore be reported once and pause the path, for longer while rejections continue.
 func TestCongestionIsReportedOnceAndPausesThePath(t *testing.T) {
 	h := newHarness(t, reportingSettings(), testDestination{endpoints: 1})
 	h.arrive(1)
@@ -840,32 +862,32 @@
 	}
 	p := h.path()
 	if h.s.pauseForCongestion(&p.limiter) {
-		t.Error("got new congestion right after a report")
+		t.Error("got a new observation of congestion right after the first, want none")
 	}
 	first := p.limiter.congestion.Span
 	h.s.now += first
 	if !h.s.pauseForCongestion(&p.limiter) || p.limiter.congestion.Span != 2*first {
-		t.Errorf("got a pause of up to %v after %v, want twice as long while rejections continue", p.limiter.congestion.Span, first)
+		t.Errorf("got a maximum pause of %v after one of %v while rejections continue, want it doubled", p.limiter.congestion.Span, first)
 	}
 }
 
 func TestMessagesWaitForBatchUnderAllotment(t *testing.T) {
 	h := newHarness(t, testSettings(), testDestination{kind: 1, endpoints: 1})
 	if h.arrive(1); len(h.outstanding) != 1 {
-		t.Fatal("got no send without an allotment")
+		t.Fatal("got no immediate send of a single message without a limit, want one")
 	}
 	h.finish(Delivered, 0)
 	h.s.setAllotment(&h.path().limiter, 3)
 	h.wait(2 * time.Second)
 	if h.arrive(1); len(h.outstanding) != 0 {
-		t.Error("got a single message sent under an allotment")
+		t.Error("got a single message sent at once under an allotment, want it to wait for others")
 	}
 	if h.wait(time.Second); len(h.outstanding) != 1 {
-		t.Error("got no send after its part of the soft deadline")
+		t.Error("got no send after the maximum wait for a batch, want one")
 	}
 }
 
-// Each report arrives at hundreds of nodes, so the step that it causes must be cheap.
+// Each report arrives at hundreds of nodes, so a step with only a report must be cheap and return no actions.
 func TestReportsCauseNoActions(t *testing.T) {
 	h := newHarness(t, reportingSettings(), testDestination{endpoints: 1})
 	if actions := h.step(PeerMessage{Tag: 1, Event: PeerRateLimited}); len(actions) != 0 {
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// fleet is many senders of one destination, with a scripted outage.
+// fleet simulates many senders of one destination, whose outage is scripted by the test.
 type fleet struct {
 	set        Settings
 	senders    []*Sender
@@ -14,12 +14,13 @@
 	nextID     MessageID
 	pending    []pendingCall
 	reports    []Event // sent in this step, received by all others in the next
-	reporters  []int   // the sender of each
-	sawFailure []bool  // has seen a call fail
-	awareCalls []Time  // calls of senders that have
-	calls      int     // of all
+	reporters  []int   // the sender of each report
+	sawFailure []bool  // by sender: a call of it has failed
+	awareCalls []Time  // times of the calls by senders that saw a failure
+	calls      int     // number of calls by all senders
 }
 
+// pendingCall is an outstanding call with the time of its response.
 type pendingCall struct {
 	sender int
 	send   Send
@@ -28,10 +29,10 @@
 
 const responseTime = 100 * time.Millisecond
 
-// arrivalRate is how many messages a second arrive, at all senders together.
+// arrivalRate is the number of messages a second that arrive at all senders together.
 const arrivalRate = 45.0
 
-// newFleet starts so many senders that know so many endpoints of one destination.
+// newFleet starts set.Senders senders with an endpoint list of one destination.
 func newFleet(set Settings, endpoints int, rate float64) *fleet {
 	f := &fleet{set: set, now: time.Hour, sawFailure: make([]bool, set.Senders)}
 	for i := range set.Senders {
@@ -41,6 +42,7 @@
 	return f
 }
 
+// restart replaces a sender by a new one without state.
 func (f *fleet) restart(i, endpoints int, rate float64) {
 	var list []Entry
 	for e := range endpoints {
@@ -50,6 +52,7 @@
 	f.step(i, EndpointUpdate{Complete: true, Entries: list})
 }
 
+// step passes events to a sender, and records its calls and reports.
 func (f *fleet) step(i int, events ...Event) {
 	for _, a := range f.senders[i].Step(f.now, events, nil) {
 		switch a := a.(type) {
@@ -65,8 +68,8 @@
 	}
 }
 
-// run plays a span: messages come at a rate, one sender after the other, and
-// outcome returns the outcome of a call.
+// run simulates a time span. Messages arrive at arrivalRate, at one sender after another. outcome returns the outcome of
+// a call.
 func (f *fleet) run(span time.Duration, loseReports bool, outcome func() Outcome) {
 	const tick = 20 * time.Millisecond
 	due := 0.0
@@ -97,7 +100,7 @@
 		f.pending = kept
 		for due += arrivalRate * tick.Seconds(); due >= 1; due-- {
 			f.nextID++
-			// A stride that is prime to the number of senders visits all of them.
+			// A stride that is coprime to the number of senders reaches all of them.
 			i := int(f.nextID) * 7919 % len(f.senders)
 			events[i] = append(events[i], Arrived{
 				Message: f.nextID, Class: 1,
@@ -110,8 +113,8 @@
 	}
 }
 
-// most is the largest share of its budget that the destination was sent in any fall
-// window that ends within the span, by senders that had seen a failure.
+// maxBudgetShare returns the calls in an overload window, by senders that saw a failure, as a fraction of the overload
+// threshold of the destination at the end of the window. It is the maximum over all windows since the recovery.
 func (f *fleet) maxBudgetShare(recoveredAt Time, capacity float64) float64 {
 	worst, first := 0.0, 0
 	for i, at := range f.awareCalls {
@@ -127,18 +130,19 @@
 	return worst
 }
 
-// Hundreds of senders that saw one outage each send a call at the return, which overloads a destination
-// that is warming up. During the outage a tenth of the calls passes, so it seems to begin anew over and over.
+// Hundreds of senders that saw an outage would each send a call after the recovery, which overloads a destination that is
+// warming up. In some cases a tenth of the calls succeeds during the outage, so that the outage seems to end and begin
+// again repeatedly. The ramp budgets of all senders together must stay below the overload threshold.
 func TestManySendersStayWithinRampBudget(t *testing.T) {
 	const capacity = 80.0
 	for _, c := range []struct {
 		name                string
 		report, loseReports bool
 		rateAccuracy        RateAccuracy
-		passes              int // one call in so many passes in the outage, or none
+		passEvery           int // one call of this many succeeds in the outage; 0 for none
 		endpoints           int
-		restarts            int // so many senders start anew within the outage
-		stopped             int // so many are gone at the return
+		restarts            int // number of senders that restart during the outage
+		stopped             int // number of senders that stop before the recovery
 	}{
 		{name: "reports, some calls pass", report: true, passEvery: 10, endpoints: 1},
 		{name: "reports, advertised rate", report: true, rateAccuracy: RateRough, passEvery: 10, endpoints: 1},
@@ -177,20 +181,22 @@
 			f.run(6*time.Second, c.loseReports, healthy)
 			share := f.maxBudgetShare(recoveredAt, capacity)
 			sent := float64(f.calls-callsBefore) / (6 * capacity * set.InitialCapacity)
-			t.Logf("%.2f of the budget, %.2f of its initial capacity; %d calls of %d by who saw failures, id %d, calls %d", share, sent, len(f.awareCalls), len(f.pending), f.nextID, calls)
+			t.Logf("%.2f of the overload threshold, %.2f of the initial capacity; %d calls by senders that saw a failure, %d pending, last message %d, %d calls in the outage", share, sent, len(f.awareCalls), len(f.pending), f.nextID, calls)
 			if share > 1 {
-				t.Errorf("got %.2f times the ramp budget of the destination, want 1 at most", share)
+				t.Errorf("got calls at %.2f times the overload threshold of the destination, want 1 at most", share)
 			}
-			// Calls of senders that saw nothing count too: a sender with an allotment of a call in nine
-			// seconds that lost it to a rejection has no other for a time.
+			// This check also counts calls of senders that saw no failure: a sender with an allotment of one call
+			// in 9 s that lost it to a rejection has no other for a time.
 			if max(share, sent) < 0.05 {
-				t.Errorf("got %.2f of its initial capacity, want 0.05 at least", sent)
+				t.Errorf("got %.2f of the overload threshold and %.2f of the initial capacity used, want 0.05 at least of either", share, sent)
 			}
 		})
 	}
 }
 
-// Senders that saw one failure each must not resume for a report of something else.
+// If no reports arrive, a single error without a recent success opens the circuit: hundreds of senders may have seen one
+// error each. A report about another endpoint must not make such a sender resume. After a recent success a single error
+// must not open the circuit.
 func TestOneErrorWithoutReportsOpensCircuit(t *testing.T) {
 	h := newHarness(t, reportingSettings(), testDestination{endpoints: 1})
 	h.arrive(1)
@@ -199,11 +205,11 @@
 	}
 	e := h.path().endpoints[0]
 	if !e.circuit.open {
-		t.Fatal("got a closed circuit after an error, with no success and no reports before")
+		t.Fatal("got a closed circuit after an error without earlier successes and reports, want it open")
 	}
 	h.step(PeerMessage{Tag: 1<<TagBits - 1, Event: PeerDown})
 	if h.wait(backoffBase); len(h.outstanding) != 0 {
-		t.Error("got a send after a report of something else")
+		t.Error("got a send after a report about another endpoint, want none")
 	}
 	c := newHarness(t, reportingSettings(), testDestination{endpoints: 1})
 	c.arrive(1)
@@ -211,25 +217,27 @@
 	c.arrive(1)
 	c.finish(Failed, 0)
 	if c.path().endpoints[0].circuit.open {
-		t.Error("got an open circuit after one error right after a success")
+		t.Error("got an open circuit after one error right after a success, want it closed")
 	}
 }
 
-// Where reports are lost, all who sent one would lead and probe in each overload window.
+// If reports are lost, many senders report the same outage and become probe leaders. All of them would probe in each
+// overload window. A probe leader that receives no reports must probe as rarely as the others.
 func TestProbeLeaderWithoutReportsProbesRarely(t *testing.T) {
 	h := newHarness(t, reportingSettings(), testDestination{endpoints: 1})
 	e := h.path().endpoints[0]
 	e.circuit.open, e.circuit.probeLeader, e.circuit.unhealthySince, h.s.now = true, true, h.now-10*time.Second, h.now
 	if gap := h.s.probeInterval(e); gap < 2*h.s.settings.OverloadWindow {
-		t.Errorf("got a probe interval of %v though no reports arrive", gap)
+		t.Errorf("got a probe interval of %v while no reports arrive, want two overload windows at least", gap)
 	}
 	h.step(PeerMessage{Tag: 1<<TagBits - 1, Event: PeerRateLimited})
 	if gap := h.s.probeInterval(e); gap > 2*h.s.settings.OverloadWindow {
-		t.Errorf("got a probe interval of %v for the probe leader", gap)
+		t.Errorf("got a probe interval of %v for a probe leader that receives reports, want two overload windows at most", gap)
 	}
 }
 
-// A call that passes in an outage must not make it look short.
+// If a call succeeds during an outage, the outage seems to end and begin again. Counted from the second failure it would
+// look short, and the ramp budget, which shrinks with its length, would be too large.
 func TestOutageStartsAtFirstFailure(t *testing.T) {
 	h := newHarness(t, reportingSettings(), testDestination{endpoints: 1})
 	e := h.path().endpoints[0]
@@ -239,15 +247,17 @@
 		h.now += 4 * time.Second
 	}
 	if e.circuit.unhealthySince != start {
-		t.Errorf("got a count from %v after the first failure, want 0", e.circuit.unhealthySince-start)
+		t.Errorf("got an outage counted from %v after the first failure, want 0s", e.circuit.unhealthySince-start)
 	}
 	h.s.now = h.now
-	if short, long := h.s.rampBudget(e, 1), testSettings().OverloadWindow; short > rampMargin*2*long.Seconds()/12+1e-9 { // the longest deadline
-		t.Errorf("got a budget of %.2f calls in an overload window 16 s after the first failure", short)
+	const longestDeadline = 12 // in seconds, of the classes in testSettings
+	if budget, window := h.s.rampBudget(e, 1), testSettings().OverloadWindow; budget > rampMargin*2*window.Seconds()/longestDeadline+1e-9 {
+		t.Errorf("got a ramp budget of %.2f calls 16 s after the first failure, want that for an outage of at least 12 s", budget)
 	}
 }
 
-// The best windows of many senders do not coincide, those of two nearly do.
+// Each sender estimates its own rate from its best window and its mean. The best windows of many senders do not coincide,
+// so the sum of their rates would be too high; those of two senders nearly coincide.
 func TestOwnRatesSumToAcceptedRate(t *testing.T) {
 	for _, c := range []struct {
 		senders, peak, passes int
@@ -260,31 +270,32 @@
 		p := h.path()
 		p.successes.Peak, p.successes.Passes = c.peak, c.passes
 		if mean, r := float64(c.passes)/60, h.s.ownRate(p); r < mean || r > c.most {
-			t.Errorf("%d senders, best window of %d and %d in a minute: got rate %.2f, want %.2f to %.2f",
+			t.Errorf("%d senders, %d calls in the best window and %d in a minute: got rate %.2f, want %.2f to %.2f",
 				c.senders, c.peak, c.passes, r, mean, c.most)
 		}
 	}
 }
 
-// While reports are lost each of hundreds of senders would report each outage to all others.
+// If reports are lost, each of hundreds of senders detects each outage itself and would report it to all others. While no
+// reports arrive, all senders together must send at most one a tick.
 func TestReportsAreRateLimitedWhileNoneArrive(t *testing.T) {
 	h := newHarness(t, reportingSettings(), testDestination{endpoints: 1})
 	e := h.path().endpoints[0]
 	h.s.now = h.now
 	if !h.s.reportToPeers(e, PeerDown) {
-		t.Fatal("got no first report")
+		t.Fatal("got no first report, want one")
 	}
 	if h.s.reportToPeers(e, PeerDown) {
-		t.Error("got a second report at once though none arrive")
+		t.Error("got a second report immediately while none arrive, want none")
 	}
 	h.s.now += 400 * h.s.settings.Tick
 	if !h.s.reportToPeers(e, PeerDown) {
-		t.Error("got no report after a tick for each sender")
+		t.Error("got no report after one tick for each sender, want one")
 	}
 	h.step(PeerMessage{Tag: 1<<TagBits - 1, Event: PeerRateLimited})
 	for range 2 {
 		if !h.s.reportToPeers(e, PeerDown) {
-			t.Error("got no report though others arrive")
+			t.Error("got no report while reports of others arrive, want one")
 		}
 	}
 }
