--- a/internal/engine/events.go
+++ b/internal/engine/events.go
@@ -55,7 +55,7 @@
 	now, class := e.now(), e.settings.Classes[m.Class]
 	a := policy.Arrived{Message: m.Seq, Destination: m.Destination, Class: m.Class, GiveUpAt: now + time.Until(m.Deadline) - e.responseMargin}
 	if h := m.History; h.Attempts > 0 {
-		a.Past = policy.Past{Attempts: h.Attempts, MayHaveRun: h.MayHaveRun, FirstRunZone: h.RanZone}
+		a.Past = policy.PriorAttempts{Attempts: h.Attempts, MayHaveRun: h.MayHaveRun, FirstRunZone: h.RanZone}
 		if h.MayHaveRun {
 			a.Past.FirstRunAt = e.moduleTime(h.RanAt)
 		}
--- a/internal/simulation/message.go
+++ b/internal/simulation/message.go
@@ -33,7 +33,7 @@
 func (c *Cluster) arrivedEvent(m *message) policy.Arrived {
 	arrived := policy.Arrived{
 		Message: m.id, Destination: m.destination, Class: m.class, GiveUpAt: m.deadline,
-		Past: policy.Past{Attempts: m.attempts, MayHaveRun: m.mayHaveRun, FirstRunZone: m.firstRunZone},
+		Past: policy.PriorAttempts{Attempts: m.attempts, MayHaveRun: m.mayHaveRun, FirstRunZone: m.firstRunZone},
 	}
 	if m.mayHaveRun {
 		arrived.Past.FirstRunAt = m.firstRunAt
--- a/internal/steps/bytes_test.go
+++ b/internal/steps/bytes_test.go
@@ -36,7 +36,7 @@
 		policy.SubscriptionFailed{},
 		policy.Arrived{
 			Message: 1, Destination: 2, Class: 1, Key: 9, GiveUpAt: 77,
-			Past: policy.Past{Attempts: 2, MayHaveRun: true, FirstRunAt: 5, FirstRunZone: 1},
+			Past: policy.PriorAttempts{Attempts: 2, MayHaveRun: true, FirstRunAt: 5, FirstRunZone: 1},
 		},
 		policy.AttemptCompleted{
 			Message: 3, Attempt: 1, Endpoint: 4, Outcome: policy.Reset, RetryAfter: 6, Final: true, StaleConnection: true, Duration: 8,
--- a/internal/steps/convert.go
+++ b/internal/steps/convert.go
@@ -86,7 +86,7 @@
 	return policy.Arrived{
 		Message: policy.MessageID(form.Message), Destination: form.Destination, Class: form.Class, Key: form.Key,
 		GiveUpAt: form.GiveUpAt,
-		Past: policy.Past{
+		Past: policy.PriorAttempts{
 			Attempts: form.Past.Attempts, MayHaveRun: form.Past.MayRun, FirstRunAt: form.Past.RanAt, FirstRunZone: form.Past.RanZone,
 		},
 	}
--- a/internal/steps/golden_test.go
+++ b/internal/steps/golden_test.go
@@ -43,7 +43,7 @@
 			policy.SubscriptionFailed{},
 			policy.Arrived{
 				Message: 1 << 62, Destination: 2, Class: 3, Key: 1<<64 - 1, GiveUpAt: 5,
-				Past: policy.Past{Attempts: 6, MayHaveRun: true, FirstRunAt: 7, FirstRunZone: 8},
+				Past: policy.PriorAttempts{Attempts: 6, MayHaveRun: true, FirstRunAt: 7, FirstRunZone: 8},
 			},
 			policy.AttemptCompleted{Message: 1, Attempt: 2, Endpoint: 3, Outcome: policy.NotSent, RetryAfter: 4, Final: true, StaleConnection: true, Duration: 5},
 			policy.Withdrawn{Message: 6},
--- a/internal/steps/steps_test.go
+++ b/internal/steps/steps_test.go
@@ -181,7 +181,7 @@
 	events := []policy.Event{
 		policy.EndpointUpdate{Complete: true, Entries: []policy.Entry{{Endpoint: 1, Zone: 2, Rate: 0.5}}},
 		policy.SubscriptionFailed{},
-		policy.Arrived{Message: 1, Key: 9, Past: policy.Past{MayHaveRun: true}},
+		policy.Arrived{Message: 1, Key: 9, Past: policy.PriorAttempts{MayHaveRun: true}},
 		policy.Arrived{},
 		policy.AttemptCompleted{Message: 3, StaleConnection: true},
 		policy.AttemptCompleted{},
--- a/policy/circuit.go
+++ b/policy/circuit.go
@@ -108,10 +108,10 @@
 
 // recordOutcome applies the outcome of a call to the health of its endpoint. retryAfter is 0 if the response
 // contained none.
-func (s *Sender) recordOutcome(c *call, outcome Outcome, retryAfter, took time.Duration) {
+func (s *Sender) recordOutcome(c *call, outcome Outcome, retryAfter, duration time.Duration) {
 	switch outcome {
 	case Delivered:
-		s.recordSuccess(c.endpoint, time.Duration(float64(took)/batchCost(c.size)))
+		s.recordSuccess(c.endpoint, time.Duration(float64(duration)/batchCost(c.size)))
 	case RateLimited:
 		s.recordRejection(c, retryAfter)
 	case TimedOut:
@@ -129,7 +129,7 @@
 
 // answeredSince reports whether the endpoint has accepted another call since the call was sent. If so, the
 // call may be lost, but an outage is not the cause.
-func (c *call) answeredSince() bool { return c.endpoint.circuit.lastSuccessAt > c.sent }
+func (c *call) answeredSince() bool { return c.endpoint.circuit.lastSuccessAt > c.sentAt }
 
 // recordTimeout applies a call without a response.
 func (s *Sender) recordTimeout(c *call) {
@@ -147,7 +147,7 @@
 // it indicates an outage. The rejections before a long Retry-After then give no information about the limit.
 func (s *Sender) recordRejection(c *call, retryAfter time.Duration) {
 	e := c.endpoint
-	s.recordRateLimit(e, c.sent, retryAfter)
+	s.recordRateLimit(e, c.sentAt, retryAfter)
 	if !s.rejectionsShowOutage(e, retryAfter) {
 		return
 	}
@@ -172,8 +172,8 @@
 
 // undoCuts restores a learnt allotment to its value before the latest rejections in a row.
 func (s *Sender) undoCuts(l *rateLimiter) {
-	if l.quota == nil && l.allotmentBeforeRun > 0 {
-		s.setAllotment(l, l.allotmentBeforeRun)
+	if l.quota == nil && l.allotmentBeforeRejections > 0 {
+		s.setAllotment(l, l.allotmentBeforeRejections)
 	}
 }
 
@@ -182,7 +182,7 @@
 	e, p := c.endpoint, c.endpoint.path
 	wasSuspect := e.circuit.suspect
 	e.circuit.recordFailure(s.now, weight, outcome == TimedOut || outcome == Reset)
-	if e.ramp.active && c.sent >= e.ramp.startedAt && wasSuspect {
+	if e.ramp.active && c.sentAt >= e.ramp.startedAt && wasSuspect {
 		e.ramp.startedAt = s.now // two failures in a row: it had not recovered yet
 	}
 	certain := e.circuit.failureScore >= openScore ||
@@ -248,9 +248,9 @@
 	}
 }
 
-// recordSuccess applies a success to an endpoint and its path, and closes its circuit. took is the response
-// time, divided by the batch cost of the call.
-func (s *Sender) recordSuccess(e *endpoint, took time.Duration) {
+// recordSuccess applies a success to an endpoint and its path, and closes its circuit. latency is the
+// response time, divided by the batch cost of the call.
+func (s *Sender) recordSuccess(e *endpoint, latency time.Duration) {
 	p, l := e.path, &e.path.limiter
 	if e.circuit.open {
 		event := PeerRecovered // a few lost calls between two successes are not an outage
@@ -260,8 +260,8 @@
 		s.reportToPeers(e, event)
 		s.closeCircuit(e, event)
 		openedByRejections := e.circuit.consecutiveRejections >= rejectionsToOpenCircuit
-		if l.quota == nil && l.allotmentBeforeRun > l.allotment && openedByRejections {
-			s.setAllotment(l, l.allotmentBeforeRun) // the outage caused those rejections, not the limit
+		if l.quota == nil && l.allotmentBeforeRejections > l.allotment && openedByRejections {
+			s.setAllotment(l, l.allotmentBeforeRejections) // the outage caused those rejections, not the limit
 		}
 	}
 	e.circuit.recordSuccess(s.now)
@@ -269,15 +269,15 @@
 	if e.ramp.active = e.ramp.active && s.warmUpFactor(e.ramp.startedAt) < 1; !e.ramp.active {
 		e.circuit.unhealthySince = 0
 	}
-	s.recordPathSuccess(p, took)
+	s.recordPathSuccess(p, latency)
 }
 
 // recordPathSuccess applies a success to the rate, the allotment and the latency of a path.
-func (s *Sender) recordPathSuccess(p *path, took time.Duration) {
+func (s *Sender) recordPathSuccess(p *path, latency time.Duration) {
 	p.successes.Pass(s.now)
-	s.slots.recordLatency(took)
+	s.slots.recordLatency(latency)
 	s.growAllotment(&p.limiter)
-	if ratio, known := p.latency.Observe(took); known {
+	if ratio, known := p.latency.Observe(latency); known {
 		s.slots.recordRelativeLatency(ratio)
 	}
 }
--- a/policy/events.go
+++ b/policy/events.go
@@ -28,11 +28,11 @@
 	Class       int    // index of Settings.Classes
 	Key         uint64 // 0 means no key
 	GiveUpAt    Time
-	Past        Past // zero for a new message
+	Past        PriorAttempts // zero for a new message
 }
 
-// Past describes the attempts at a message before the node restarted.
-type Past struct {
+// PriorAttempts describes the attempts at a message before the node restarted.
+type PriorAttempts struct {
 	Attempts     int
 	MayHaveRun   bool // one of them may have run, or may still run
 	FirstRunAt   Time // when the first such attempt was sent
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -21,9 +21,10 @@
 	seed       uint64
 }
 
-// fleet simulates many senders of one destination on virtual time. The destination has a rate limit: a token bucket that
-// rejected calls drain as well. The simulation has no network, no control process and one destination, so that a test of
-// many nodes takes little time. Clusters with faults are simulated by internal/simulation; extend that one if needed.
+// fleet simulates many senders of one destination on virtual time. The destination has a rate limit: a token bucket
+// that rejected calls drain as well. The simulation has no network, no control process and one destination, so that a
+// test of many nodes takes little time. Clusters with faults are simulated by internal/simulation; extend that one if
+// needed.
 type fleet struct {
 	rng        *rand.Rand
 	set        policy.Settings
@@ -195,7 +196,8 @@
 
 // Nodes share a limit without coordination except reports. They could leave much of it unused, or exceed it and waste
 // calls on rejections. Under more load than the limit they must deliver most of the limit with few rejections, for any
-// number of nodes, also if the configured number of senders is wrong by a factor of four or a third of the reports is lost.
+// number of nodes, also if the configured number of senders is wrong by a factor of four or a third of the reports is
+// lost.
 func TestFleetAboveLimitDeliversMostOfLimit(t *testing.T) {
 	for _, c := range []struct {
 		name         string
@@ -233,8 +235,8 @@
 }
 
 // A partner may reduce its limit and raise it again. Nodes that follow too slowly cause many rejections, or leave the
-// raised limit unused. After a drop to a quarter the rejections must be few from the third second on, and after the rise
-// most of the limit must be used again within 6 s.
+// raised limit unused. After a drop to a quarter the rejections must be few from the third second on, and after the
+// rise most of the limit must be used again within 6 s.
 func TestFleetFollowsLimitDownAndUp(t *testing.T) {
 	f := newFleet(fleetConfig{nodes: 80, limit: 60, seed: 5})
 	f.offer(70, 10*time.Second)
@@ -256,8 +258,8 @@
 	}
 }
 
-// If all reports are lost, a sender sees only the rejections of its own calls. Each of them counts once for each sender,
-// so that the nodes together must still stay near the limit.
+// If all reports are lost, a sender sees only the rejections of its own calls. Each of them counts once for each
+// sender, so that the nodes together must still stay near the limit.
 func TestFleetWithoutReportsStaysNearLimit(t *testing.T) {
 	f := newFleet(fleetConfig{nodes: 80, advertised: 60, limit: 40, lossRate: 1, seed: 9})
 	f.offer(60, 10*time.Second)
@@ -269,9 +271,9 @@
 	}
 }
 
-// An endpoint that drains or fails may reject all calls before the endpoint list shows it. If its rejections cut the quota
-// of the path, the healthy endpoint would get too few calls. The rate of accepted calls must stay, and few calls may go
-// to the rejecting endpoint. After it has recovered, the rate must stay as well.
+// An endpoint that drains or fails may reject all calls before the endpoint list shows it. If its rejections cut the
+// quota of the path, the healthy endpoint would get too few calls. The rate of accepted calls must stay, and few calls
+// may go to the rejecting endpoint. After it has recovered, the rate must stay as well.
 func TestFleetAvoidsRejectingEndpoint(t *testing.T) {
 	f := newFleet(fleetConfig{nodes: 80, limit: 60, seed: 11})
 	f.offer(50, 10*time.Second)
@@ -288,9 +290,9 @@
 	}
 }
 
-// Conditions that make the estimate of the limit wrong: most nodes stop and restart, one node gets half of the traffic,
-// the limit is far below one call per window for each node, or it falls and rises repeatedly. After each, a minimum part
-// of the limit must be used, and a bounded part of the calls rejected.
+// Conditions that make the estimate of the limit wrong: most nodes stop and restart, one node gets half of the
+// traffic, the limit is far below one call per window for each node, or it falls and rises repeatedly. After each, a
+// minimum part of the limit must be used, and a bounded part of the calls rejected.
 func TestFleetAfterDisruptionUsesLimit(t *testing.T) {
 	const nodes = 80
 	for _, c := range []struct {
@@ -340,9 +342,9 @@
 	}
 }
 
-// If each node could use only an equal share of the limit, busy nodes would delay messages while capacity is unused. Under
-// less load than the limit nearly all messages must be delivered, even if a few nodes get several times the mean load or
-// one node gets a tenth of it: a node may use the capacity that others leave.
+// If each node could use only an equal share of the limit, busy nodes would delay messages while capacity is unused.
+// Under less load than the limit nearly all messages must be delivered, even if a few nodes get several times the mean
+// load or one node gets a tenth of it: a node may use the capacity that others leave.
 func TestFleetWithUnevenLoadDeliversNearlyAll(t *testing.T) {
 	const limit = 200
 	for _, c := range []struct {
@@ -361,8 +363,8 @@
 	}
 }
 
-// When a limit drops, the calls that are rejected until all nodes follow must be bounded by the former limit. If each node
-// had to see rejections of its own, they would grow with the number of nodes.
+// When a limit drops, the calls that are rejected until all nodes follow must be bounded by the former limit. If each
+// node had to see rejections of its own, they would grow with the number of nodes.
 func TestFleetRejectionsAfterLimitDropAreBounded(t *testing.T) {
 	const limit = 60
 	for _, nodes := range []int{16, 33, 80, 200} {
@@ -375,8 +377,8 @@
 			_, first, _ := f.takeCounts()
 			f.offer(1.2*limit, 4*time.Second)
 			_, later, _ := f.takeCounts()
-			// R (1-q) ln(1/q) rejections until the level has followed, with the former limit R and the remaining part q: see
-			// docs/design/fleet.md. The calls of 1.5 s at the former limit are a margin for chance.
+			// R (1-q) ln(1/q) rejections until the level has followed, with the former limit R and the remaining part
+			// q: see docs/design/fleet.md. The calls of 1.5 s at the former limit are a margin for chance.
 			bound := limit*(1-remaining)*math.Log(1/remaining) + 1.5*limit
 			if float64(first) > bound || later > limit {
 				t.Errorf("%d nodes, %.2f of the limit remaining: got %d calls rejected in 4 s and %d in the next 4 s, want %.0f and %d at most", nodes, remaining, first, later, bound, limit)
--- a/policy/forecast.go
+++ b/policy/forecast.go
@@ -10,15 +10,15 @@
 
 // expectedQueueDelay returns the expected time until the queue of a destination is empty.
 func (s *Sender) expectedQueueDelay(d *destination) time.Duration {
-	rate, closed := 0.0, time.Duration(math.MaxInt64)
+	rate, blocked := 0.0, time.Duration(math.MaxInt64)
 	for _, p := range d.paths {
 		rate += s.expectedRate(p)
-		closed = min(closed, s.expectedClosedTime(p))
+		blocked = min(blocked, s.expectedBlockedTime(p))
 	}
 	if len(d.paths) == 0 {
 		return narrowWindow
 	}
-	return closed + queueTime(d.queue.Len(), rate)
+	return blocked + queueTime(d.queue.Len(), rate)
 }
 
 // queueTime returns the time to send a number of messages at a rate in messages a second.
@@ -35,10 +35,10 @@
 	return calls * float64(p.kind.MaxBatch)
 }
 
-// expectedClosedTime returns the expected time until a path accepts calls again. An outage is expected to
+// expectedBlockedTime returns the expected time until a path accepts calls again. An outage is expected to
 // last as long again as it has lasted so far.
-func (s *Sender) expectedClosedTime(p *path) time.Duration {
-	wait := max(p.limiter.quota.SuspendedFor(s.now), p.limiter.closedUntil-s.now)
+func (s *Sender) expectedBlockedTime(p *path) time.Duration {
+	wait := max(p.limiter.quota.SuspendedFor(s.now), p.limiter.blockedUntil-s.now)
 	if since, open := p.openSince(); open {
 		wait = max(wait, s.now-since, s.settings.OverloadWindow)
 	}
@@ -53,7 +53,7 @@
 		if p.fee > 0 {
 			continue
 		}
-		w := s.expectedClosedTime(p) + queueTime(p.dest.queue.Len(), s.expectedRate(p))
+		w := s.expectedBlockedTime(p) + queueTime(p.dest.queue.Len(), s.expectedRate(p))
 		mayTake := func(e *endpoint) bool { return e.state == Ready && s.mayRetry(m, e) }
 		if (wait < 0 || w < wait) && slices.ContainsFunc(p.endpoints, mayTake) {
 			wait = w
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -138,7 +138,7 @@
 func TestBatchCountsOnceInBothWindows(t *testing.T) {
 	h := newHarness(t, testSettings(), testDestination{kind: 1, endpoints: 1})
 	p := h.path()
-	p.limiter.closedUntil = h.now + 1
+	p.limiter.blockedUntil = h.now + 1
 	for range 3 {
 		h.arrive(1)
 	}
@@ -166,7 +166,7 @@
 	if want := 4 * allotmentPerRepeatedRejection; math.Abs(p.limiter.allotment-want) > 1e-9 {
 		t.Errorf("got allotment %v after a rejection right after another, want %v", p.limiter.allotment, want)
 	}
-	p.limiter.allotment, p.limiter.allotmentBeforeRun = 1/float64(h.s.settings.Senders), 0
+	p.limiter.allotment, p.limiter.allotmentBeforeRejections = 1/float64(h.s.settings.Senders), 0
 	// The wide window still counts the calls that the larger allotment allowed.
 	p.limiter.wide = container.Window{Span: p.limiter.wide.Span}
 	h.wait(4 * time.Second)
@@ -223,18 +223,18 @@
 	}
 }
 
-// The messages of a batch complete separately: one may time out before the outcome of another contains a Retry-After. The
-// health of the endpoint counts only the first outcome, but the Retry-After must still pause the path.
+// The messages of a batch complete separately: one may time out before the outcome of another contains a Retry-After.
+// The health of the endpoint counts only the first outcome, but the Retry-After must still pause the path.
 func TestRetryAfterOfLaterBatchOutcomeApplies(t *testing.T) {
 	h := newHarness(t, testSettings(), testDestination{kind: 1, endpoints: 1})
-	h.path().limiter.closedUntil = h.now + 1
+	h.path().limiter.blockedUntil = h.now + 1
 	h.arrive(1)
 	h.arrive(1)
 	h.wait(time.Millisecond)
 	h.finish(TimedOut, 0)
 	h.finish(RateLimited, 3*time.Second)
-	if until := h.path().limiter.closedUntil; until < h.now+3*time.Second {
-		t.Errorf("got a path closed until %v, want at least 3 s after %v", until, h.now)
+	if until := h.path().limiter.blockedUntil; until < h.now+3*time.Second {
+		t.Errorf("got a path blocked until %v, want at least 3 s after %v", until, h.now)
 	}
 }
 
@@ -255,12 +255,12 @@
 	if h.outstanding[0].Endpoint != 2 {
 		t.Fatalf("got endpoint %d, want the route without a fee", h.outstanding[0].Endpoint)
 	}
-	h.s.activeDestination(0).paths[1].limiter.closedUntil = h.now + 100*time.Millisecond
+	h.s.activeDestination(0).paths[1].limiter.blockedUntil = h.now + 100*time.Millisecond
 	h.arrive(1)
 	if len(h.outstanding) != 1 {
 		t.Error("got a send with a fee that saves only a short wait within the soft deadline, want none")
 	}
-	h.s.activeDestination(0).paths[1].limiter.closedUntil = h.now + 10*time.Second
+	h.s.activeDestination(0).paths[1].limiter.blockedUntil = h.now + 10*time.Second
 	h.wait(time.Millisecond)
 	if len(h.outstanding) != 2 || h.outstanding[1].Endpoint != 1 {
 		t.Errorf("got sends %v, want one on the route with a fee because waiting costs more", h.outstanding)
@@ -279,8 +279,8 @@
 	}
 }
 
-// The rate limit counts only the starts of calls, so without a further limit a destination whose calls hang would occupy
-// all slots. It may use half of them.
+// The rate limit counts only the starts of calls, so without a further limit a destination whose calls hang would
+// occupy all slots. It may use half of them.
 func TestHangingDestinationLeavesSlotsForOthers(t *testing.T) {
 	h := newHarness(t, testSettings(), testDestination{endpoints: 1})
 	for range 20 {
@@ -351,8 +351,8 @@
 	}
 }
 
-// During an outage a backlog accumulates. Sent at once, it would overload the destination, which is still warming up after
-// its recovery. The recovery ramp must keep this sender below the overload threshold.
+// During an outage a backlog accumulates. Sent at once, it would overload the destination, which is still warming up
+// after its recovery. The recovery ramp must keep this sender below the overload threshold.
 func TestRecoveryRampStaysWithinBudget(t *testing.T) {
 	h := newHarness(t, testSettings(), testDestination{endpoints: 1})
 	p, e := h.path(), h.path().endpoints[0]
@@ -395,8 +395,8 @@
 	}
 }
 
-// A few lost calls may open a circuit although there was no outage. A recovery ramp would then limit a healthy endpoint. A
-// success must start a ramp only after errors, or after a long time without a success.
+// A few lost calls may open a circuit although there was no outage. A recovery ramp would then limit a healthy
+// endpoint. A success must start a ramp only after errors, or after a long time without a success.
 func TestRecoveryRampStartsOnlyAfterOutage(t *testing.T) {
 	for _, c := range []struct {
 		name             string
@@ -492,8 +492,8 @@
 	}
 }
 
-// A call that times out or is reset although a later call succeeded was lost on its own. Even many such calls must neither
-// count as failures of the endpoint, nor open its circuit, nor start a recovery ramp.
+// A call that times out or is reset although a later call succeeded was lost on its own. Even many such calls must
+// neither count as failures of the endpoint, nor open its circuit, nor start a recovery ramp.
 func TestLostCallsDoNotOpenCircuit(t *testing.T) {
 	for _, o := range []Outcome{TimedOut, Reset} {
 		h := newHarness(t, testSettings(), testDestination{endpoints: 1})
@@ -538,14 +538,14 @@
 	}
 }
 
-// While an endpoint warms up, a single failure may be a lost call. After two in a row the endpoint had not recovered yet:
-// the warm-up must restart, or its ramp would allow too many calls.
+// While an endpoint warms up, a single failure may be a lost call. After two in a row the endpoint had not recovered
+// yet: the warm-up must restart, or its ramp would allow too many calls.
 func TestWarmUpRestartsAfterTwoFailures(t *testing.T) {
 	h := newHarness(t, testSettings(), testDestination{endpoints: 1})
 	e := h.path().endpoints[0]
 	from := h.now
 	e.ramp.active, e.ramp.startedAt, e.circuit.lastSuccessAt = true, from, from
-	c := &call{endpoint: e, sent: from, size: 1}
+	c := &call{endpoint: e, sentAt: from, size: 1}
 	h.now += h.s.settings.Tick
 	h.step(Woken{})
 	h.s.recordOutcome(c, TimedOut, 0, 0)
@@ -572,7 +572,7 @@
 	set := testSettings()
 	set.MaxInFlight = 20
 	h := newHarness(t, set, testDestination{endpoints: 1})
-	h.path().limiter.closedUntil = h.now + time.Hour
+	h.path().limiter.blockedUntil = h.now + time.Hour
 	rejected := 0
 	for range 30 {
 		rejected += countActions[Reject](h.arrive(0))
@@ -695,8 +695,8 @@
 	}
 }
 
-// An endpoint that is added during an outage may be a replacement that is still warming up. With a closed circuit it would
-// get the whole queue at once. It must be probed first.
+// An endpoint that is added during an outage may be a replacement that is still warming up. With a closed circuit it
+// would get the whole queue at once. It must be probed first.
 func TestEndpointAddedDuringOutageIsProbedFirst(t *testing.T) {
 	for _, state := range []EndpointState{Ready, Draining, Removed} {
 		h := newHarness(t, testSettings(), testDestination{endpoints: 1})
@@ -744,8 +744,8 @@
 	}
 }
 
-// If many senders share a small limit, one call per window from each sender keeps the limit exhausted. An allotment below
-// one call must therefore lengthen both windows.
+// If many senders share a small limit, one call per window from each sender keeps the limit exhausted. An allotment
+// below one call must therefore lengthen both windows.
 func TestAllotmentUnderOneCallLengthensBothWindows(t *testing.T) {
 	set := testSettings()
 	set.Senders = 400
@@ -828,8 +828,8 @@
 }
 
 // A report with a ProbeDelay means that other senders probe the endpoint. If this sender probed it too, all senders
-// together would send too many probes. It must wait for the delay even if it detected the outage itself. A recent success
-// of its own must outweigh such a report.
+// together would send too many probes. It must wait for the delay even if it detected the outage itself. A recent
+// success of its own must outweigh such a report.
 func TestProbesAreLeftToReportingPeer(t *testing.T) {
 	h := newHarness(t, testSettings(), testDestination{endpoints: 1})
 	e := h.path().endpoints[0]
--- a/policy/queue.go
+++ b/policy/queue.go
@@ -43,7 +43,7 @@
 // call is one outstanding call, with one message or a batch.
 type call struct {
 	endpoint   *endpoint
-	sent       Time
+	sentAt     Time
 	size       int  // number of messages
 	unfinished int  // number of messages without an outcome
 	recorded   bool // an outcome has been applied to the endpoint's health
--- a/policy/ratelimit.go
+++ b/policy/ratelimit.go
@@ -69,10 +69,10 @@
 	allotment    float64          // calls in a narrow window; infinite without a limit
 	quota        *ratelimit.Quota // shared by many senders or assigned to this one, or nil
 	jitter       float64          // random factor from 0.5 to 1.5 on the windows under a shared quota
-	closedUntil  Time             // by Retry-After or a pause
+	blockedUntil Time             // by Retry-After or a pause
 
-	allotmentBeforeRun float64           // the allotment before the latest rejections in a row, or 0
-	congestion         estimate.Doubling // observed congestion, and the maximum length of its pause
+	allotmentBeforeRejections float64           // the allotment before the latest rejections in a row, or 0
+	congestion                estimate.Doubling // observed congestion, and the maximum length of its pause
 
 	advertisedRatePerSender float64 // in calls a second, or 0
 	safeRate                float64 // the lower bound of this sender's advertised or assigned rate
@@ -122,8 +122,8 @@
 	return l.limited() && float64(l.narrow.Count(now)) >= l.allotment-1
 }
 
-// closeUntil blocks calls until a time.
-func (l *rateLimiter) closeUntil(until Time) { l.closedUntil = max(l.closedUntil, until) }
+// blockUntil blocks calls until a time.
+func (l *rateLimiter) blockUntil(until Time) { l.blockedUntil = max(l.blockedUntil, until) }
 
 // updateFromQuota sets the allotment and the windows from the current rate of the quota. If the recent rate
 // was higher, the wide window is shortened in proportion. Otherwise the calls that were allowed at the recent
@@ -177,7 +177,7 @@
 	switch {
 	case entry.State == Removed:
 	case p.traffic == nil && p.assignedRate != entry.AssignedRate:
-		p.assignedRate, p.knownSince = entry.AssignedRate, s.now
+		p.assignedRate, p.ratesReceivedAt = entry.AssignedRate, s.now
 	case p.traffic != nil && (entry.AssignedRate != 0 || p.limiter.quota.Exclusive()):
 		s.setAssignedRate(&p.limiter, s.now, entry.AssignedRate)
 	}
@@ -201,7 +201,7 @@
 		l.updateFromQuota(s.now)
 	}
 	capacity := l.quota.WindowCapacity(l.allotment)
-	if s.now < l.closedUntil || l.quota.SuspendedFor(s.now) > 0 {
+	if s.now < l.blockedUntil || l.quota.SuspendedFor(s.now) > 0 {
 		return false
 	}
 	if _, open := p.openSince(); open && l.quota != nil && !l.quota.Exclusive() {
@@ -249,7 +249,7 @@
 	}
 	doublings := min(e.circuit.consecutiveRejections, maxPauseDoublings)
 	pause := cmp.Or(retryAfter, min(maxRejectionPause, rejectionPause<<doublings))
-	l.closeUntil(s.now + pause + estimate.Jitter(s.rng, maxPauseJitter))
+	l.blockUntil(s.now + pause + estimate.Jitter(s.rng, maxPauseJitter))
 }
 
 // recordQuotaRejection applies a rejection by an endpoint, of this sender's call or reported by a peer, to
@@ -273,7 +273,7 @@
 	}
 	factor := allotmentPerRepeatedRejection
 	if e.circuit.consecutiveRejections == 0 {
-		factor, l.allotmentBeforeRun = allotmentPerRejection, l.allotment
+		factor, l.allotmentBeforeRejections = allotmentPerRejection, l.allotment
 	}
 	if l.allotment <= 1 {
 		factor = s.lowAllotmentCut
@@ -300,7 +300,7 @@
 func (s *Sender) pauseForCongestion(l *rateLimiter) bool {
 	isNew := l.congestion.Again(s.now, narrowWindow, wideWindow)
 	if isNew {
-		l.closeUntil(s.now + estimate.Jitter(s.rng, l.congestion.Span))
+		l.blockUntil(s.now + estimate.Jitter(s.rng, l.congestion.Span))
 	}
 	return isNew
 }
--- a/policy/reference_test.go
+++ b/policy/reference_test.go
@@ -213,7 +213,7 @@
 		a := policy.Arrived{Message: w.next, Destination: rapid.IntRange(0, 2).Draw(w.t, "message destination"), Class: class, GiveUpAt: w.now + c.Deadline}
 		if rapid.IntRange(0, 8).Draw(w.t, "older") == 0 {
 			a.GiveUpAt -= c.Deadline / 2
-			a.Past = policy.Past{Attempts: rapid.IntRange(0, 3).Draw(w.t, "attempts before")}
+			a.Past = policy.PriorAttempts{Attempts: rapid.IntRange(0, 3).Draw(w.t, "attempts before")}
 			if a.Past.Attempts > 0 {
 				a.Past.MayHaveRun, a.Past.FirstRunAt, a.Past.FirstRunZone = true, w.now-c.Deadline/2, rapid.IntRange(0, 1).Draw(w.t, "first run zone")
 			}
--- a/policy/registry.go
+++ b/policy/registry.go
@@ -54,13 +54,13 @@
 	// Rates from the endpoint list, in calls a second. advertisedRate is that of all senders together.
 	// assignedRate is the Entry.AssignedRate of this sender; it is kept up to date only while the destination
 	// is idle.
-	advertisedRate float64
-	assignedRate   float64
-	knownSince     Time   // when these rates were received
-	assumedCallAt  Time   // an assumed call, so that with shared quotas not all senders start at once
-	maxReady       uint32 // the maximum number of endpoints that were ready at the same time
-	kindIndex      uint16
-	zone           uint16
+	advertisedRate  float64
+	assignedRate    float64
+	ratesReceivedAt Time   // when these rates were received
+	assumedCallAt   Time   // an assumed call, so that with shared quotas not all senders start at once
+	maxReady        uint32 // the maximum number of endpoints that were ready at the same time
+	kindIndex       uint16
+	zone            uint16
 
 	*traffic // nil while its destination is idle
 }
@@ -174,7 +174,7 @@
 // numbers.
 func (s *Sender) newPath(d *destination, entry Entry) *path {
 	p := &path{
-		dest: d, advertisedRate: entry.Rate, assignedRate: entry.AssignedRate, knownSince: s.now,
+		dest: d, advertisedRate: entry.Rate, assignedRate: entry.AssignedRate, ratesReceivedAt: s.now,
 		maxReady: 1, kindIndex: s.kindIndex(entry), zone: uint16(min(entry.Zone, len(s.settings.ZoneFee)-1)),
 	}
 	if s.startsFromAdvertisedRate(p) && s.sharesQuotas() {
@@ -209,7 +209,7 @@
 		p.fee = s.settings.ZoneFee[p.zone]
 	}
 	if p.assignedRate != 0 {
-		s.setAssignedRate(l, p.knownSince, p.assignedRate)
+		s.setAssignedRate(l, p.ratesReceivedAt, p.assignedRate)
 	}
 }
 
@@ -223,7 +223,7 @@
 
 // followAdvertisedRate sets the quota of a limiter to a path's advertised rate, shared by all senders.
 func (s *Sender) followAdvertisedRate(l *rateLimiter, p *path) {
-	l.quota = ratelimit.NewShared(p.knownSince, p.advertisedRate, s.settings.Senders)
+	l.quota = ratelimit.NewShared(p.ratesReceivedAt, p.advertisedRate, s.settings.Senders)
 	l.updateFromQuota(s.now)
 }
 
--- a/policy/restart_test.go
+++ b/policy/restart_test.go
@@ -40,7 +40,7 @@
 	s := New(restartSettings(), 1)
 	sends := filterSends(s.Step(start, []Event{both, Arrived{
 		Message: 1, GiveUpAt: start + 20*time.Second,
-		Past: Past{Attempts: 2, MayHaveRun: true, FirstRunAt: start - 2*time.Second, FirstRunZone: 1},
+		Past: PriorAttempts{Attempts: 2, MayHaveRun: true, FirstRunAt: start - 2*time.Second, FirstRunZone: 1},
 	}}, nil))
 	if len(sends) != 1 || sends[0].Endpoint != 2 {
 		t.Fatalf("got sends %v, want one to endpoint 2", sends)
@@ -48,7 +48,7 @@
 	s = New(restartSettings(), 1)
 	actions := s.Step(start, []Event{both, Arrived{
 		Message: 1, GiveUpAt: start + 20*time.Second,
-		Past: Past{Attempts: 2, MayHaveRun: true, FirstRunAt: start - 13*time.Second, FirstRunZone: 1},
+		Past: PriorAttempts{Attempts: 2, MayHaveRun: true, FirstRunAt: start - 13*time.Second, FirstRunZone: 1},
 	}}, nil)
 	if len(actions) == 0 || actions[0] != (Fail{Message: 1}) {
 		t.Errorf("got actions %v after the dedup window, want a Fail", actions)
@@ -56,7 +56,7 @@
 	s = New(restartSettings(), 1)
 	actions = s.Step(start, []Event{both, Arrived{
 		Message: 1, GiveUpAt: start + 20*time.Second,
-		Past: Past{Attempts: 6},
+		Past: PriorAttempts{Attempts: 6},
 	}}, nil)
 	if _, ok := actions[0].(Reject); !ok || len(filterSends(actions)) > 0 {
 		t.Errorf("got actions %v for a message without attempts left, want a rejection and no send", actions)
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -105,7 +105,7 @@
 		s.recordOutcome(c, completed.Outcome, completed.RetryAfter, completed.Duration)
 	}
 	if completed.RetryAfter > 0 {
-		c.endpoint.path.limiter.closeUntil(s.now + completed.RetryAfter)
+		c.endpoint.path.limiter.blockUntil(s.now + completed.RetryAfter)
 	}
 }
 
--- a/policy/schedule.go
+++ b/policy/schedule.go
@@ -160,7 +160,7 @@
 // sendCall makes one call to an endpoint, with a message and as many others as its batch may contain.
 func (s *Sender) sendCall(m *message, e *endpoint) {
 	p := e.path
-	c := &call{endpoint: e, sent: s.now}
+	c := &call{endpoint: e, sentAt: s.now}
 	s.countNewCall(c)
 	if e.circuit.open {
 		p.nextProbeAt = s.now + s.probeInterval(e)
--- a/policy/silence_test.go
+++ b/policy/silence_test.go
@@ -39,7 +39,7 @@
 			var reported []Tag
 			for id := EndpointID(1); id <= 2; id++ {
 				e := s.activeEndpoint(id)
-				k := &call{endpoint: e, sent: now, size: 1}
+				k := &call{endpoint: e, sentAt: now, size: 1}
 				s.now = now
 				s.peers.lastReceivedAt = now // peers' reports arrive, so that this sender reports too
 				s.recordOutcome(k, TimedOut, 0, time.Second)
--- a/policy/timeout.go
+++ b/policy/timeout.go
@@ -66,6 +66,6 @@
 	limit := stallLatencies * max(1, s.slots.relativeLatency) * float64(e.path.latency.Mean)
 	return slices.ContainsFunc(e.calls, func(c *call) bool {
 		allowed := max(minStallTime, time.Duration(limit*batchCost(c.size)))
-		return s.now-c.sent > allowed && e.circuit.lastSuccessAt <= c.sent
+		return s.now-c.sentAt > allowed && e.circuit.lastSuccessAt <= c.sentAt
 	})
 }
