--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -6,34 +6,35 @@
 	"time"
 )
 
-// fleet is many senders of one destination, with a scripted outage.
+// fleet simulates many senders of one destination, whose outage is scripted by the test.
 type fleet struct {
-	set     Settings
-	senders []*Sender
-	now     Time
-	nextID  MessageID
-	out     []flight
-	reports []Event // sent in this step, received by all others in the next
-	by      []int   // the sender of each
-	aware   []bool  // has seen a call fail
-	sent    []Time  // calls of senders that have
-	calls   int     // of all
+	set        Settings
+	senders    []*Sender
+	now        Time
+	nextID     MessageID
+	pending    []pendingCall
+	reports    []Event // sent in this step, received by all others in the next
+	reporters  []int   // the sender of each report
+	sawFailure []bool  // by sender: a call of it has failed
+	awareCalls []Time  // times of the calls by senders that saw a failure
+	calls      int     // number of calls by all senders
 }
 
-type flight struct {
+// pendingCall is an outstanding call with the time of its response.
+type pendingCall struct {
 	sender int
 	send   Send
 	due    Time
 }
 
-const answerTime = 100 * time.Millisecond
+const responseTime = 100 * time.Millisecond
 
-// arrivalRate is how many messages a second arrive, at all senders together.
+// arrivalRate is the number of messages a second that arrive at all senders together.
 const arrivalRate = 45.0
 
-// newFleet starts so many senders that know so many endpoints of one destination.
+// newFleet starts set.Senders senders with an endpoint list of one destination.
 func newFleet(set Settings, endpoints int, rate float64) *fleet {
-	f := &fleet{set: set, now: time.Hour, aware: make([]bool, set.Senders)}
+	f := &fleet{set: set, now: time.Hour, sawFailure: make([]bool, set.Senders)}
 	for i := range set.Senders {
 		f.senders = append(f.senders, nil)
 		f.restart(i, endpoints, rate)
@@ -41,6 +42,7 @@
 	return f
 }
 
+// restart replaces a sender by a new one without state.
 func (f *fleet) restart(i, endpoints int, rate float64) {
 	var list []Entry
 	for e := range endpoints {
@@ -50,54 +52,55 @@
 	f.step(i, EndpointUpdate{Complete: true, Entries: list})
 }
 
+// step passes events to a sender, and records its calls and reports.
 func (f *fleet) step(i int, events ...Event) {
 	for _, a := range f.senders[i].Step(f.now, events, nil) {
 		switch a := a.(type) {
 		case Send:
-			f.out = append(f.out, flight{i, a, f.now + answerTime})
+			f.pending = append(f.pending, pendingCall{i, a, f.now + responseTime})
 			f.calls++
-			if f.aware[i] {
-				f.sent = append(f.sent, f.now)
+			if f.sawFailure[i] {
+				f.awareCalls = append(f.awareCalls, f.now)
 			}
 		case NotifyPeers:
-			f.reports, f.by = append(f.reports, PeerMessage{Tag: a.Tag, Event: a.Event}), append(f.by, i)
+			f.reports, f.reporters = append(f.reports, PeerMessage{Tag: a.Tag, Event: a.Event}), append(f.reporters, i)
 		}
 	}
 }
 
-// run plays a span: messages come at a rate, one sender after the other, and
-// result returns the outcome of a call.
-func (f *fleet) run(span time.Duration, loseReports bool, result func() Outcome) {
+// run simulates a time span. Messages arrive at arrivalRate, at one sender after another. outcome returns the outcome of
+// a call.
+func (f *fleet) run(span time.Duration, loseReports bool, outcome func() Outcome) {
 	const tick = 20 * time.Millisecond
 	due := 0.0
 	for end := f.now + span; f.now < end; f.now += tick {
-		reports, by := f.reports, f.by
-		f.reports, f.by = nil, nil
+		reports, reporters := f.reports, f.reporters
+		f.reports, f.reporters = nil, nil
 		events := make([][]Event, len(f.senders))
 		for k, n := range reports {
 			for i := range f.senders {
-				if i != by[k] && !loseReports {
+				if i != reporters[k] && !loseReports {
 					events[i] = append(events[i], n)
 				}
 			}
 		}
-		kept := f.out[:0]
-		for _, c := range f.out {
+		kept := f.pending[:0]
+		for _, c := range f.pending {
 			if c.due > f.now {
 				kept = append(kept, c)
 				continue
 			}
-			o := result()
-			f.aware[c.sender] = f.aware[c.sender] || o != Delivered
+			o := outcome()
+			f.sawFailure[c.sender] = f.sawFailure[c.sender] || o != Delivered
 			events[c.sender] = append(events[c.sender], AttemptCompleted{
 				Message:  c.send.Message,
-				Endpoint: c.send.Endpoint, Outcome: o, Final: o == Delivered, Duration: answerTime,
+				Endpoint: c.send.Endpoint, Outcome: o, Final: o == Delivered, Duration: responseTime,
 			})
 		}
-		f.out = kept
+		f.pending = kept
 		for due += arrivalRate * tick.Seconds(); due >= 1; due-- {
 			f.nextID++
-			// A stride that is prime to the number of senders visits all of them.
+			// A stride that is coprime to the number of senders reaches all of them.
 			i := int(f.nextID) * 7919 % len(f.senders)
 			events[i] = append(events[i], Arrived{
 				Message: f.nextID, Class: 1,
@@ -110,144 +113,151 @@
 	}
 }
 
-// most is the largest share of its budget that the destination was sent in any fall
-// window that ends within the span, by senders that had seen a failure.
-func (f *fleet) most(back Time, capacity float64) float64 {
+// maxBudgetShare returns the calls in an overload window, by senders that saw a failure, as a fraction of the overload
+// threshold of the destination at the end of the window. It is the maximum over all windows since the recovery.
+func (f *fleet) maxBudgetShare(recoveredAt Time, capacity float64) float64 {
 	worst, first := 0.0, 0
-	for i, at := range f.sent {
-		if at < back {
+	for i, at := range f.awareCalls {
+		if at < recoveredAt {
 			continue
 		}
-		for at-f.sent[first] >= f.set.OverloadWindow || f.sent[first] < back {
+		for at-f.awareCalls[first] >= f.set.OverloadWindow || f.awareCalls[first] < recoveredAt {
 			first++
 		}
-		warm := min(1, f.set.InitialCapacity+(1-f.set.InitialCapacity)*float64(at-back)/float64(f.set.WarmUp))
+		warm := min(1, f.set.InitialCapacity+(1-f.set.InitialCapacity)*float64(at-recoveredAt)/float64(f.set.WarmUp))
 		worst = max(worst, float64(i-first+1)/(f.set.OverloadFactor*warm*capacity*f.set.OverloadWindow.Seconds()))
 	}
 	return worst
 }
 
-// Hundreds of senders that saw one outage each send a call at the return, which overloads a destination
-// that is warming up. During the outage a tenth of the calls passes, so it seems to begin anew over and over.
-func TestManySendersStayWithinTheRampBudget(t *testing.T) {
+// Hundreds of senders that saw an outage would each send a call after the recovery, which overloads a destination that is
+// warming up. In some cases a tenth of the calls succeeds during the outage, so that the outage seems to end and begin
+// again repeatedly. The ramp budgets of all senders together must stay below the overload threshold.
+func TestManySendersStayWithinRampBudget(t *testing.T) {
 	const capacity = 80.0
 	for _, c := range []struct {
 		name                string
 		report, loseReports bool
-		listing             RateAccuracy
-		passes              int // one call in so many passes in the outage, or none
+		rateAccuracy        RateAccuracy
+		passEvery           int // one call of this many succeeds in the outage; 0 for none
 		endpoints           int
-		restarts            int // so many senders start anew within the outage
-		gone                int // so many are gone at the return
+		restarts            int // number of senders that restart during the outage
+		stopped             int // number of senders that stop before the recovery
 	}{
-		{name: "reports, some calls pass", report: true, passes: 10, endpoints: 1},
-		{name: "reports, advertised rate", report: true, listing: RateRough, passes: 10, endpoints: 1},
+		{name: "reports, some calls pass", report: true, passEvery: 10, endpoints: 1},
+		{name: "reports, advertised rate", report: true, rateAccuracy: RateRough, passEvery: 10, endpoints: 1},
 		{name: "reports, no call passes", report: true, endpoints: 1},
-		{name: "reports lost", report: true, loseReports: true, listing: RateRough, passes: 10, endpoints: 1},
-		{name: "no reports, senders restarted", passes: 10, endpoints: 1, restarts: 400},
-		{name: "reports, senders restarted, advertised rate", report: true, listing: RateExact, endpoints: 1, restarts: 200},
-		{name: "most senders gone", report: true, passes: 10, endpoints: 1, gone: 300},
-		{name: "two endpoints", report: true, passes: 10, endpoints: 2},
+		{name: "reports lost", report: true, loseReports: true, rateAccuracy: RateRough, passEvery: 10, endpoints: 1},
+		{name: "no reports, senders restarted", passEvery: 10, endpoints: 1, restarts: 400},
+		{name: "reports, senders restarted, advertised rate", report: true, rateAccuracy: RateExact, endpoints: 1, restarts: 200},
+		{name: "most senders gone", report: true, passEvery: 10, endpoints: 1, stopped: 300},
+		{name: "two endpoints", report: true, passEvery: 10, endpoints: 2},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			set := testSettings()
-			set.Senders, set.PeerMessages, set.RateAccuracy = 400, c.report, c.listing
+			set.Senders, set.PeerMessages, set.RateAccuracy = 400, c.report, c.rateAccuracy
 			f := newFleet(set, c.endpoints, arrivalRate)
-			well := func() Outcome { return Delivered }
-			f.run(8*time.Second, c.loseReports, well)
+			healthy := func() Outcome { return Delivered }
+			f.run(8*time.Second, c.loseReports, healthy)
 			calls := 0
-			ill := func() Outcome {
-				if calls++; c.passes > 0 && calls%c.passes == 0 {
+			failing := func() Outcome {
+				if calls++; c.passEvery > 0 && calls%c.passEvery == 0 {
 					return Delivered
 				}
 				return Failed
 			}
-			f.run(6*time.Second, c.loseReports, ill)
+			f.run(6*time.Second, c.loseReports, failing)
 			for i := range c.restarts {
 				f.restart(i, c.endpoints, arrivalRate)
-				f.aware[i] = false
+				f.sawFailure[i] = false
 			}
-			f.out = slices.DeleteFunc(f.out, func(o flight) bool { return o.sender < c.restarts })
-			f.run(6*time.Second, c.loseReports, ill)
-			left := len(f.senders) - c.gone
+			f.pending = slices.DeleteFunc(f.pending, func(o pendingCall) bool { return o.sender < c.restarts })
+			f.run(6*time.Second, c.loseReports, failing)
+			left := len(f.senders) - c.stopped
 			f.senders = f.senders[:left]
-			f.out = slices.DeleteFunc(f.out, func(o flight) bool { return o.sender >= left })
-			f.reports, f.by = nil, nil
-			back, before := f.now, f.calls
-			f.run(6*time.Second, c.loseReports, well)
-			share := f.most(back, capacity)
-			sent := float64(f.calls-before) / (6 * capacity * set.InitialCapacity)
-			t.Logf("%.2f of the budget, %.2f of its initial capacity; %d calls of %d by who saw failures, id %d, calls %d", share, sent, len(f.sent), len(f.out), f.nextID, calls)
+			f.pending = slices.DeleteFunc(f.pending, func(o pendingCall) bool { return o.sender >= left })
+			f.reports, f.reporters = nil, nil
+			recoveredAt, callsBefore := f.now, f.calls
+			f.run(6*time.Second, c.loseReports, healthy)
+			share := f.maxBudgetShare(recoveredAt, capacity)
+			sent := float64(f.calls-callsBefore) / (6 * capacity * set.InitialCapacity)
+			t.Logf("%.2f of the overload threshold, %.2f of the initial capacity; %d calls by senders that saw a failure, %d pending, last message %d, %d calls in the outage", share, sent, len(f.awareCalls), len(f.pending), f.nextID, calls)
 			if share > 1 {
-				t.Errorf("got %.2f times the ramp budget of the destination, want 1 at most", share)
+				t.Errorf("got calls at %.2f times the overload threshold of the destination, want 1 at most", share)
 			}
-			// Calls of senders that saw nothing count too: a sender with an allotment of a call in nine
-			// seconds that lost it to a rejection has no other for a time.
+			// This check also counts calls of senders that saw no failure: a sender with an allotment of one call
+			// in 9 s that lost it to a rejection has no other for a time.
 			if max(share, sent) < 0.05 {
-				t.Errorf("got %.2f of its initial capacity, want 0.05 at least", sent)
+				t.Errorf("got %.2f of the overload threshold and %.2f of the initial capacity used, want 0.05 at least of either", share, sent)
 			}
 		})
 	}
 }
 
-// Senders that saw one failure each must not resume for a report of something else.
-func TestOneErrorWithoutReportsIsAnOutage(t *testing.T) {
-	b := newBench(t, reportingSettings(), benchDestination{endpoints: 1})
-	b.arrive(1)
-	if n := count[NotifyPeers](b.finish(Failed, 0)); n != 0 {
+// If no reports arrive, a single error without a recent success opens the circuit: hundreds of senders may have seen one
+// error each. A report about another endpoint must not make such a sender resume. After a recent success a single error
+// must not open the circuit.
+func TestOneErrorWithoutReportsOpensCircuit(t *testing.T) {
+	h := newHarness(t, reportingSettings(), testDestination{endpoints: 1})
+	h.arrive(1)
+	if n := countActions[NotifyPeers](h.finish(Failed, 0)); n != 0 {
 		t.Errorf("got %d reports of an outage after one error, want 0", n)
 	}
-	e := b.path().endpoints[0]
+	e := h.path().endpoints[0]
 	if !e.circuit.open {
-		t.Fatal("got a closed circuit after an error, with no success and no reports before")
+		t.Fatal("got a closed circuit after an error without earlier successes and reports, want it open")
 	}
-	b.step(PeerMessage{Tag: 1<<TagBits - 1, Event: PeerDown})
-	if b.wait(backoffBase); len(b.sent) != 0 {
-		t.Error("got a send after a report of something else")
+	h.step(PeerMessage{Tag: 1<<TagBits - 1, Event: PeerDown})
+	if h.wait(backoffBase); len(h.outstanding) != 0 {
+		t.Error("got a send after a report about another endpoint, want none")
 	}
-	c := newBench(t, reportingSettings(), benchDestination{endpoints: 1})
+	c := newHarness(t, reportingSettings(), testDestination{endpoints: 1})
 	c.arrive(1)
 	c.finish(Delivered, 0)
 	c.arrive(1)
 	c.finish(Failed, 0)
 	if c.path().endpoints[0].circuit.open {
-		t.Error("got an open circuit after one error right after a success")
+		t.Error("got an open circuit after one error right after a success, want it closed")
 	}
 }
 
-// Where reports are lost, all who sent one would lead and probe in each overload window.
-func TestNoProbeLeaderWithoutReports(t *testing.T) {
-	b := newBench(t, reportingSettings(), benchDestination{endpoints: 1})
-	e := b.path().endpoints[0]
-	e.circuit.open, e.circuit.probeLeader, e.circuit.unhealthySince, b.s.now = true, true, b.now-10*time.Second, b.now
-	if gap := b.s.probeInterval(e); gap < 2*b.s.settings.OverloadWindow {
-		t.Errorf("got a probe interval of %v though no reports arrive", gap)
+// If reports are lost, many senders report the same outage and become probe leaders. All of them would probe in each
+// overload window. A probe leader that receives no reports must probe as rarely as the others.
+func TestProbeLeaderWithoutReportsProbesRarely(t *testing.T) {
+	h := newHarness(t, reportingSettings(), testDestination{endpoints: 1})
+	e := h.path().endpoints[0]
+	e.circuit.open, e.circuit.probeLeader, e.circuit.unhealthySince, h.s.now = true, true, h.now-10*time.Second, h.now
+	if gap := h.s.probeInterval(e); gap < 2*h.s.settings.OverloadWindow {
+		t.Errorf("got a probe interval of %v while no reports arrive, want two overload windows at least", gap)
 	}
-	b.step(PeerMessage{Tag: 1<<TagBits - 1, Event: PeerRateLimited})
-	if gap := b.s.probeInterval(e); gap > 2*b.s.settings.OverloadWindow {
-		t.Errorf("got a probe interval of %v for the probe leader", gap)
+	h.step(PeerMessage{Tag: 1<<TagBits - 1, Event: PeerRateLimited})
+	if gap := h.s.probeInterval(e); gap > 2*h.s.settings.OverloadWindow {
+		t.Errorf("got a probe interval of %v for a probe leader that receives reports, want two overload windows at most", gap)
 	}
 }
 
-// A call that passes in an outage must not make it look short.
-func TestOutageCountsFromTheFirstFailure(t *testing.T) {
-	b := newBench(t, reportingSettings(), benchDestination{endpoints: 1})
-	e := b.path().endpoints[0]
-	start := b.now
+// If a call succeeds during an outage, the outage seems to end and begin again. Counted from the second failure it would
+// look short, and the ramp budget, which shrinks with its length, would be too large.
+func TestOutageStartsAtFirstFailure(t *testing.T) {
+	h := newHarness(t, reportingSettings(), testDestination{endpoints: 1})
+	e := h.path().endpoints[0]
+	start := h.now
 	for _, event := range []PeerEvent{PeerDown, PeerSlowStart, PeerDown, PeerSlowStart} {
-		b.step(PeerMessage{Tag: TagOf(e.id), Event: event})
-		b.now += 4 * time.Second
+		h.step(PeerMessage{Tag: TagOf(e.id), Event: event})
+		h.now += 4 * time.Second
 	}
 	if e.circuit.unhealthySince != start {
-		t.Errorf("got a count from %v after the first failure, want 0", e.circuit.unhealthySince-start)
+		t.Errorf("got an outage counted from %v after the first failure, want 0s", e.circuit.unhealthySince-start)
 	}
-	b.s.now = b.now
-	if short, long := b.s.rampBudget(e, 1), testSettings().OverloadWindow; short > rampMargin*2*long.Seconds()/12+1e-9 { // the longest deadline
-		t.Errorf("got a budget of %.2f calls in an overload window 16 s after the first failure", short)
+	h.s.now = h.now
+	const longestDeadline = 12 // in seconds, of the classes in testSettings
+	if budget, window := h.s.rampBudget(e, 1), testSettings().OverloadWindow; budget > rampMargin*2*window.Seconds()/longestDeadline+1e-9 {
+		t.Errorf("got a ramp budget of %.2f calls 16 s after the first failure, want that for an outage of at least 12 s", budget)
 	}
 }
 
-// The best windows of many senders do not coincide, those of two nearly do.
+// Each sender estimates its own rate from its best window and its mean. The best windows of many senders do not coincide,
+// so the sum of their rates would be too high; those of two senders nearly coincide.
 func TestOwnRatesSumToAcceptedRate(t *testing.T) {
 	for _, c := range []struct {
 		senders, peak, passes int
@@ -255,36 +265,37 @@
 	}{{400, 2, 3, 0.1}, {400, 3, 6, 0.25}, {2, 12, 240, 6}, {1, 12, 240, 6}} {
 		set := testSettings()
 		set.Senders = c.senders
-		b := newBench(t, set, benchDestination{endpoints: 1})
-		b.s.now = b.now + time.Minute
-		p := b.path()
+		h := newHarness(t, set, testDestination{endpoints: 1})
+		h.s.now = h.now + time.Minute
+		p := h.path()
 		p.successes.Peak, p.successes.Passes = c.peak, c.passes
-		if mean, r := float64(c.passes)/60, b.s.ownRate(p); r < mean || r > c.most {
-			t.Errorf("%d senders, best window of %d and %d in a minute: got rate %.2f, want %.2f to %.2f",
+		if mean, r := float64(c.passes)/60, h.s.ownRate(p); r < mean || r > c.most {
+			t.Errorf("%d senders, %d calls in the best window and %d in a minute: got rate %.2f, want %.2f to %.2f",
 				c.senders, c.peak, c.passes, r, mean, c.most)
 		}
 	}
 }
 
-// While reports are lost each of hundreds of senders would report each outage to all others.
-func TestReportsAreBoundedWhileNoneArrive(t *testing.T) {
-	b := newBench(t, reportingSettings(), benchDestination{endpoints: 1})
-	e := b.path().endpoints[0]
-	b.s.now = b.now
-	if !b.s.reportToPeers(e, PeerDown) {
-		t.Fatal("got no first report")
+// If reports are lost, each of hundreds of senders detects each outage itself and would report it to all others. While no
+// reports arrive, all senders together must send at most one a tick.
+func TestReportsAreRateLimitedWhileNoneArrive(t *testing.T) {
+	h := newHarness(t, reportingSettings(), testDestination{endpoints: 1})
+	e := h.path().endpoints[0]
+	h.s.now = h.now
+	if !h.s.reportToPeers(e, PeerDown) {
+		t.Fatal("got no first report, want one")
 	}
-	if b.s.reportToPeers(e, PeerDown) {
-		t.Error("got a second report at once though none arrive")
+	if h.s.reportToPeers(e, PeerDown) {
+		t.Error("got a second report immediately while none arrive, want none")
 	}
-	b.s.now += 400 * b.s.settings.Tick
-	if !b.s.reportToPeers(e, PeerDown) {
-		t.Error("got no report after a tick for each sender")
+	h.s.now += 400 * h.s.settings.Tick
+	if !h.s.reportToPeers(e, PeerDown) {
+		t.Error("got no report after one tick for each sender, want one")
 	}
-	b.step(PeerMessage{Tag: 1<<TagBits - 1, Event: PeerRateLimited})
+	h.step(PeerMessage{Tag: 1<<TagBits - 1, Event: PeerRateLimited})
 	for range 2 {
-		if !b.s.reportToPeers(e, PeerDown) {
-			t.Error("got no report though others arrive")
+		if !h.s.reportToPeers(e, PeerDown) {
+			t.Error("got no report while reports of others arrive, want one")
 		}
 	}
 }
