--- a/decide/admission/admission_test.go
+++ b/decide/admission/admission_test.go
@@ -44,10 +44,10 @@
 }
 
 // submit submits n messages and returns the decision on the last one.
-func (s *simulation) submit(dest, class, n int, left time.Duration) (d Decision) {
+func (s *simulation) submit(dest, class, n int, timeLeft time.Duration) (d Decision) {
 	for range n {
 		s.offered[dest]++
-		if d = s.c.Admit(s.now, dest, class, left); d.Reason != Admitted {
+		if d = s.c.Admit(s.now, dest, class, timeLeft); d.Reason != Admitted {
 			s.rejected[dest]++
 			continue
 		}
@@ -59,7 +59,7 @@
 		}
 		q = append(q, queuedMessage{})
 		copy(q[at+1:], q[at:])
-		q[at] = queuedMessage{class, s.now + left}
+		q[at] = queuedMessage{class, s.now + timeLeft}
 		s.queue[dest] = q
 	}
 	return d
@@ -100,13 +100,13 @@
 }
 
 // submitAtRate submits messages of class 0 at a rate, in messages a second, for a duration.
-func (s *simulation) submitAtRate(dest int, rate float64, duration, left time.Duration) {
+func (s *simulation) submitAtRate(dest int, rate float64, duration, timeLeft time.Duration) {
 	pending := 0.0
 	for range int(duration / simulationStep) {
 		pending += rate * simulationStep.Seconds()
 		n := int(pending)
 		pending -= float64(n)
-		s.submit(dest, 0, n, left)
+		s.submit(dest, 0, n, timeLeft)
 		s.advance(simulationStep)
 	}
 }
@@ -116,18 +116,18 @@
 func TestOverloadDeliversAdmittedMessages(t *testing.T) {
 	for _, rate := range []float64{5, 50, 1000} {
 		for _, overload := range []float64{1, 3, 10} {
-			for _, left := range []time.Duration{4 * time.Second, 28 * time.Second} {
-				t.Run(fmt.Sprint(rate, "x", overload, left), func(t *testing.T) {
+			for _, timeLeft := range []time.Duration{4 * time.Second, 28 * time.Second} {
+				t.Run(fmt.Sprint(rate, "x", overload, timeLeft), func(t *testing.T) {
 					s := newSimulation(17000, 1)
 					s.rate[1] = rate
 					const duration = 30 * time.Second
-					s.submitAtRate(1, rate*overload, 5*time.Second, left) // until the rate is known
-					s.advance(left)
+					s.submitAtRate(1, rate*overload, 5*time.Second, timeLeft) // until the rate is known
+					s.advance(timeLeft)
 					expiredEarly := s.expired[1]
 					s.admitted[1], s.expired[1], s.delivered[1] = 0, 0, 0
-					s.submitAtRate(1, rate*overload, duration, left)
+					s.submitAtRate(1, rate*overload, duration, timeLeft)
 					goodput := float64(s.delivered[1]) / duration.Seconds()
-					s.advance(left)
+					s.advance(timeLeft)
 					if expiredFraction := float64(s.expired[1]) / float64(s.admitted[1]); expiredFraction > 0.01 {
 						t.Errorf("expired messages: got %d of %d admitted, want 1%% at most", s.expired[1], s.admitted[1])
 					}
--- a/decide/admission/boundaries_test.go
+++ b/decide/admission/boundaries_test.go
@@ -22,10 +22,10 @@
 }
 
 // deliverCalls completes n successful calls to a destination.
-func deliverCalls(c *Controller, now Time, dest, n int, took time.Duration) {
+func deliverCalls(c *Controller, now Time, dest, n int, callDuration time.Duration) {
 	for range n {
 		c.Observe(now, Observation{Kind: CallStarted, Destination: dest})
-		c.Observe(now, Observation{Kind: CallCompleted, Destination: dest, Outcome: policy.Delivered, Duration: took})
+		c.Observe(now, Observation{Kind: CallCompleted, Destination: dest, Outcome: policy.Delivered, Duration: callDuration})
 	}
 }
 
@@ -109,9 +109,9 @@
 // A sample that ends because no message waits any longer must raise the rate if it was long enough.
 func TestSampleEndingWithBacklogRaisesRate(t *testing.T) {
 	for _, test := range []struct {
-		name string
-		over time.Duration
-		want Reason // for a message after 1,000 others that may wait for 10 s; the wait is 5 s at 200 a second, 33 s at 30
+		name           string
+		sampleDuration time.Duration
+		want           Reason // for a message after 1,000 others that may wait for 10 s; the wait is 5 s at 200 a second, 33 s at 30
 	}{
 		{"before the shortest sample", 100*time.Millisecond - tick, TooLate},
 		{"at the shortest sample", 100 * time.Millisecond, Admitted},
@@ -120,10 +120,10 @@
 			c, at := controllerWithKnownRate(1)
 			deliverCalls(c, at+50*time.Millisecond, 1, 20, 0)
 			for range 10 {
-				c.Observe(at+test.over, Observation{Kind: MessageCompleted, Destination: 1})
+				c.Observe(at+test.sampleDuration, Observation{Kind: MessageCompleted, Destination: 1})
 			}
-			adoptMessages(c, at+test.over, 1, 0, 1000)
-			wantReason(t, "after 1,000 messages", c.Admit(at+test.over, 1, 0, 20*time.Second), test.want)
+			adoptMessages(c, at+test.sampleDuration, 1, 0, 1000)
+			wantReason(t, "after 1,000 messages", c.Admit(at+test.sampleDuration, 1, 0, 20*time.Second), test.want)
 		})
 	}
 }
@@ -169,21 +169,21 @@
 	for _, test := range []struct {
 		name           string
 		failingFor     time.Duration
-		left           time.Duration
+		timeLeft       time.Duration
 		inFlight       int
 		retryAfter     time.Duration
 		want           Reason
 		wantRetry      time.Duration
 		failsInBetween bool
 	}{
-		{name: "before one second", failingFor: time.Second - tick, left: time.Second, inFlight: 4, want: Admitted},
-		{name: "from one second on", failingFor: time.Second, left: time.Second, inFlight: 4, want: TooLate, wantRetry: 500 * time.Millisecond},
-		{name: "counted from the first failure", failingFor: time.Second, left: time.Second, inFlight: 4, want: TooLate, wantRetry: 500 * time.Millisecond, failsInBetween: true},
-		{name: "expected to last for 3 s more", failingFor: 3 * time.Second, left: 6 * time.Second, inFlight: 4, want: Admitted},
-		{name: "expected to last longer than the message may wait", failingFor: 3*time.Second + tick, left: 6 * time.Second, inFlight: 4, want: TooLate, wantRetry: 100 * time.Millisecond},
-		{name: "with fewer messages in flight than allowed for trials", failingFor: time.Minute, left: time.Second, inFlight: 3, want: Admitted},
-		{name: "a trial that Retry-After allows in time", failingFor: 2 * time.Second, left: 3 * time.Second, inFlight: 1, retryAfter: 3500 * time.Millisecond, want: Admitted},
-		{name: "a trial that Retry-After allows too late", failingFor: 2 * time.Second, left: 3 * time.Second, inFlight: 1, retryAfter: 3500*time.Millisecond + tick, want: TooLate, wantRetry: 500 * time.Millisecond},
+		{name: "before one second", failingFor: time.Second - tick, timeLeft: time.Second, inFlight: 4, want: Admitted},
+		{name: "from one second on", failingFor: time.Second, timeLeft: time.Second, inFlight: 4, want: TooLate, wantRetry: 500 * time.Millisecond},
+		{name: "counted from the first failure", failingFor: time.Second, timeLeft: time.Second, inFlight: 4, want: TooLate, wantRetry: 500 * time.Millisecond, failsInBetween: true},
+		{name: "expected to last for 3 s more", failingFor: 3 * time.Second, timeLeft: 6 * time.Second, inFlight: 4, want: Admitted},
+		{name: "expected to last longer than the message may wait", failingFor: 3*time.Second + tick, timeLeft: 6 * time.Second, inFlight: 4, want: TooLate, wantRetry: 100 * time.Millisecond},
+		{name: "with fewer messages in flight than allowed for trials", failingFor: time.Minute, timeLeft: time.Second, inFlight: 3, want: Admitted},
+		{name: "a trial that Retry-After allows in time", failingFor: 2 * time.Second, timeLeft: 3 * time.Second, inFlight: 1, retryAfter: 3500 * time.Millisecond, want: Admitted},
+		{name: "a trial that Retry-After allows too late", failingFor: 2 * time.Second, timeLeft: 3 * time.Second, inFlight: 1, retryAfter: 3500*time.Millisecond + tick, want: TooLate, wantRetry: 500 * time.Millisecond},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			c := New(Settings{Weights: []float64{1}})
@@ -192,7 +192,7 @@
 			if test.failsInBetween {
 				failCall(c, start+test.failingFor/2, 0)
 			}
-			got := c.Admit(start+test.failingFor, 1, 0, test.left)
+			got := c.Admit(start+test.failingFor, 1, 0, test.timeLeft)
 			wantReason(t, "decision", got, test.want)
 			if got.RetryAfter != test.wantRetry {
 				t.Errorf("retry delay: got %v, want %v", got.RetryAfter, test.wantRetry)
@@ -282,9 +282,9 @@
 
 func TestIdleDestinationIsEvictedAfterRetention(t *testing.T) {
 	for _, test := range []struct {
-		name          string
-		lastUse, then time.Duration
-		want          int // destinations, including that of the message at the time then
+		name                string
+		lastUse, admitAfter time.Duration
+		want                int // destinations, including that of the message admitted after admitAfter
 	}{
 		{"before the next eviction scan", 0, 30*time.Second - tick, 2},
 		{"at the next eviction scan", 0, 30 * time.Second, 1},
@@ -295,7 +295,7 @@
 			c := New(Settings{Weights: []float64{1}})
 			c.Admit(start, 1, 0, time.Minute) // runs an eviction scan
 			c.Observe(start+test.lastUse, Observation{Kind: MessageCompleted, Destination: 1})
-			c.Admit(start+test.then, 2, 0, time.Minute)
+			c.Admit(start+test.admitAfter, 2, 0, time.Minute)
 			if got := c.Destinations(); got != test.want {
 				t.Errorf("got %d destinations, want %d", got, test.want)
 			}
@@ -312,11 +312,11 @@
 // The engine is saturated from a lag of half a second or a utilization of 0.9 on.
 func TestSaturationStartsAtLagOrUtilizationLimit(t *testing.T) {
 	for _, test := range []struct {
-		name  string
-		load  EngineLoad
-		after time.Duration // since the saturation began
-		left  time.Duration
-		want  Reason
+		name     string
+		load     EngineLoad
+		after    time.Duration // since the saturation began
+		timeLeft time.Duration
+		want     Reason
 	}{
 		{"lag shorter than a stall", EngineLoad{Lag: 500*time.Millisecond - tick}, 0, time.Hour, Admitted},
 		{"lag of a stall", EngineLoad{Lag: 500 * time.Millisecond}, 0, time.Hour, Saturated},
@@ -331,7 +331,7 @@
 			c := New(Settings{Weights: []float64{1}})
 			c.SetEngineLoad(start, test.load)
 			c.SetEngineLoad(start+test.after, test.load)
-			wantReason(t, "decision", c.Admit(start+test.after, 1, 0, test.left), test.want)
+			wantReason(t, "decision", c.Admit(start+test.after, 1, 0, test.timeLeft), test.want)
 		})
 	}
 }
@@ -344,7 +344,7 @@
 		sample   time.Duration // 30 messages are delivered by its end, and one more at 1.5 s
 		at       time.Duration
 		inFlight int
-		left     time.Duration
+		timeLeft time.Duration
 		want     Reason
 	}{
 		{"before the rate is known", 50 * time.Millisecond, 100*time.Millisecond - tick, 10_000, 10 * time.Second, Admitted},
@@ -364,7 +364,7 @@
 				deliverCalls(c, start+1500*time.Millisecond, 2, 1, 0)
 			}
 			c.SetEngineLoad(start+test.at, EngineLoad{Utilization: 1})
-			wantReason(t, "decision", c.Admit(start+test.at, 3, 0, test.left), test.want)
+			wantReason(t, "decision", c.Admit(start+test.at, 3, 0, test.timeLeft), test.want)
 		})
 	}
 }
