--- a/decide/lease/holder.go
+++ b/decide/lease/holder.go
@@ -26,7 +26,7 @@
 }
 
 // Holder is a node's side of its session lease. It is not safe for concurrent use. Times are durations since any fixed
-// origin; a time before the previous one ends the lease.
+// origin; a time before that of the previous call ends the lease.
 type Holder struct {
 	config             HolderConfig
 	highestIncarnation Incarnation
@@ -37,7 +37,7 @@
 	closed             bool
 	sequence           uint64 // of the latest request
 	pending            pendingRequest
-	lastSeen           time.Duration // latest time seen
+	lastSeen           time.Duration // time of the previous call
 	hasLease           bool          // a lease was granted and has not been ended before its expiry
 	expiry             time.Duration
 	assignments        map[placement.DestinationID]Assignment
@@ -69,7 +69,7 @@
 }
 
 // Valid reports whether the lease is valid: it was granted, and its duration has not passed since the request was sent.
-// If now is before an earlier time, Valid ends the lease and drops the pending request.
+// If now is before the time of the previous call, Valid ends the lease and drops the pending request.
 func (h *Holder) Valid(now time.Duration) bool {
 	h.observeClock(now)
 	return h.hasLease && now < h.expiry
@@ -175,7 +175,7 @@
 }
 
 // Quota returns the fraction of a destination's limit that the node may use now: 0 without a valid lease. If now is
-// before an earlier time, Quota ends the lease as Valid does.
+// before the time of the previous call, Quota ends the lease as Valid does.
 func (h *Holder) Quota(now time.Duration, destination placement.DestinationID) float64 {
 	if !h.Valid(now) {
 		return 0
