--- a/decide/lease/allocation.go
+++ b/decide/lease/allocation.go
@@ -5,23 +5,23 @@
 	"wingmount/decide/placement"
 )
 
-// The weights by which a limit is divided. A node that finishes what it has accepted gets half of what an owner gets: it
-// has no new messages, and the owners have to send those of the destination at once.
+// The weights by which a limit is divided. A node that only finishes its accepted messages gets half the quota of an
+// owner: it receives no new messages, whereas the owners have to send the destination's new messages at once.
 const (
 	ownerWeight     = 2
 	finishingWeight = 1
 )
 
-// role is what a session is to do with a destination.
+// role says how a session handles a destination's messages.
 type role uint8
 
 const (
-	// roleFinishing sends what the node has accepted, and accepts nothing.
+	// roleFinishing sends the node's accepted messages and accepts no new ones.
 	roleFinishing role = iota
 	// roleOwner accepts and sends messages.
 	roleOwner
-	// roleReleased has no part in the destination: the holder released it. The grant is deleted once the holder has
-	// confirmed that.
+	// roleReleased neither accepts nor sends messages: the holder released the destination. The grant is deleted once
+	// the holder has confirmed its removal.
 	roleReleased
 )
 
@@ -37,24 +37,24 @@
 	}
 }
 
-// grant is what one session has of a destination.
+// grant assigns a role and a quota of one destination to one session.
 type grant struct {
 	allocation *allocation
 	session    *session
 	role       role
-	reported   bool // made for unfinished messages that the node reported
+	reported   bool // created because the node reported unfinished messages
 	epoch      Epoch
-	accepting  bool  // as sent to the holder last
-	quota      units // as sent to the holder last
-	// reserved is the most that the holder may use: at least quota, and more until the holder has confirmed a lowered
-	// quota or its lease has expired.
+	accepting  bool  // as last sent to the holder
+	quota      units // as last sent to the holder
+	// reserved is the largest quota that the holder may use. It equals quota, or exceeds it until the holder has
+	// confirmed a lowered quota or its lease has expired.
 	reserved units
 	version  Version
-	// The neighbours in the session's grantList.
+	// previous and next link the grants of the session's grantList.
 	previous, next *grant
 }
 
-// assignment returns the grant as it is sent to the holder.
+// assignment returns the grant in the form that is sent to the holder.
 func (g *grant) assignment() Assignment {
 	return Assignment{
 		Destination: g.allocation.destination,
@@ -65,17 +65,17 @@
 	}
 }
 
-// allocation is how the limit of a destination is divided.
+// allocation divides the limit of a destination among sessions.
 type allocation struct {
 	destination placement.DestinationID
-	ownersKnown bool // SetOwners was called; before that what was reclaimed stays
+	ownersKnown bool // SetOwners was called; until then reclaimed grants are unchanged
 	owners      []placement.NodeID
 	grants      []*grant
 	quarantined units
 }
 
-// grantOf returns the grant of a session, nil if there is none.
-func (a *allocation) grantOf(s *session) *grant {
+// findGrant returns the grant of a session, or nil if there is none.
+func (a *allocation) findGrant(s *session) *grant {
 	for _, g := range a.grants {
 		if g.session == s {
 			return g
@@ -84,13 +84,13 @@
 	return nil
 }
 
-// remove deletes a grant, and with it its reservation.
+// remove deletes a grant and its reservation.
 func (a *allocation) remove(removed *grant) {
 	a.grants = slices.DeleteFunc(a.grants, func(g *grant) bool { return g == removed })
 }
 
-// available returns what may be granted: the full limit, less what holders may use now, less what holders may have used
-// within the window.
+// available returns the quota that may be granted: the full limit, less the quotas that holders may use now, less the
+// quotas that former holders may have used within the window.
 func (a *allocation) available() units {
 	available := fullLimit - a.quarantined
 	for _, g := range a.grants {
@@ -108,11 +108,11 @@
 	return total
 }
 
-// targetQuota returns the quota that a role is due: the full limit divided by weight, rounded down.
+// targetQuota returns the quota of a role once rebalancing is complete: the full limit divided by weight, rounded down.
 func targetQuota(r role, totalWeight units) units { return fullLimit * r.weight() / totalWeight }
 
-// rebalance moves the quotas of a destination towards their targets. Quotas are lowered at once, and raised only from
-// what is available: so reservations never exceed the full limit. During the grace period none is raised.
+// rebalance moves the quotas of a destination towards their targets. It lowers quotas at once, and raises them only by
+// available quota, so that reservations never exceed the full limit. During the grace period it raises none.
 func (g *Grantor) rebalance(a *allocation) {
 	if !a.ownersKnown {
 		return
@@ -133,8 +133,8 @@
 	}
 }
 
-// lowerQuota lowers a grant's quota to its target, and sets whether the holder accepts. The reservation stays until the
-// holder has confirmed that.
+// lowerQuota lowers a grant's quota to its target, and sets whether the holder accepts messages. The reservation is
+// unchanged until the holder has confirmed the new quota.
 func (g *Grantor) lowerQuota(grant *grant, target units) {
 	accepting := grant.role == roleOwner
 	if grant.quota <= target && grant.accepting == accepting {
@@ -145,9 +145,9 @@
 	g.newEpoch(grant)
 }
 
-// raiseQuota raises a grant's quota towards its target by what is reserved for it or available.
+// raiseQuota raises a grant's quota towards its target, up to the sum of its reservation and the available quota.
 func (g *Grantor) raiseQuota(grant *grant, target units) {
-	available := grant.allocation.available() + g.faults.unconfirmedQuota(grant)
+	available := grant.allocation.available() + g.faults.unconfirmedQuota(grant.allocation)
 	quota := min(target, grant.reserved+available)
 	if quota <= grant.quota {
 		return
@@ -157,7 +157,7 @@
 	g.newEpoch(grant)
 }
 
-// newEpoch gives a grant the next epoch and version: the holder's next reply has it.
+// newEpoch gives a grant the next epoch and version, so that the next reply to the holder contains the grant.
 func (g *Grantor) newEpoch(grant *grant) {
 	g.lastEpoch++
 	grant.epoch = g.lastEpoch
--- a/decide/lease/answer.go
+++ b/decide/lease/answer.go
@@ -2,8 +2,9 @@
 
 import "time"
 
-// Answer renews a session and returns the reply to a request that was received. It returns ErrSuperseded,
-// ErrNoSession or ErrStaleRequest.
+// Answer renews a session and returns the reply to a request that Receive accepted. It returns ErrSuperseded if a node
+// has named a newer incarnation, ErrNoSession if the session has ended, and ErrStaleRequest if a later request of the
+// process was received.
 func (g *Grantor) Answer(now time.Duration, id SessionID, request Request) (Reply, error) {
 	g.advance(now)
 	if g.supersededBy > 0 {
@@ -36,14 +37,14 @@
 	return reply, nil
 }
 
-// HasUpdate reports whether an answer to a request that was received carries more than the renewal itself, or the
-// request can't be answered any more.
+// HasUpdate reports whether the answer to a received request would contain more than the renewal itself, or the request
+// can no longer be answered.
 func (g *Grantor) HasUpdate(id SessionID, request Request) bool {
 	s := g.sessions[id]
 	return s == nil || s.sequence != request.Sequence || s.needsCompleteReply(request) || s.version > request.AppliedVersion
 }
 
-// TakeUpdated calls yield with each session that has changed since the last call.
+// TakeUpdated calls yield with each session that has changed since the previous call of TakeUpdated.
 func (g *Grantor) TakeUpdated(yield func(SessionID)) {
 	for _, id := range g.updated {
 		if s := g.sessions[id]; s != nil {
@@ -54,7 +55,7 @@
 	g.updated = g.updated[:0]
 }
 
-// markUpdated lists a session for TakeUpdated.
+// markUpdated adds a session to the list of TakeUpdated unless it contains the session.
 func (g *Grantor) markUpdated(s *session) {
 	if !s.markedUpdated {
 		s.markedUpdated = true
--- a/decide/lease/exhaustive_test.go
+++ b/decide/lease/exhaustive_test.go
@@ -7,60 +7,67 @@
 	"wingmount/decide/placement"
 )
 
-// maxSequenceSteps bounds the length of the sequences of TestAllShortSequences, and inFlight the messages in flight.
 const (
+	// maxSequenceSteps is the number of actions in the longest sequences of TestShortSequencesNeverExceedLimit.
 	maxSequenceSteps = 6
-	inFlight         = 2
+	// maxInFlight bounds the number of messages in flight.
+	maxInFlight = 2
 )
 
-// ownerSets are those of the only destination.
+// ownerSets contains the sets of owners that the only destination may have.
 var ownerSets = [][]placement.NodeID{{"n0"}, {"n1"}, {"n0", "n1"}}
 
-// exhaustiveActions are all that can happen in the small model. One that can't happen now changes nothing.
+// exhaustiveActions contains all actions of the small model. An action that is not possible now changes nothing.
 var exhaustiveActions = []func(m *model){
-	func(m *model) { m.renewBounded(0) },
-	func(m *model) { m.renewBounded(1) },
-	func(m *model) { m.deliverIf(0, false) },
-	func(m *model) { m.deliverIf(1, false) },
-	func(m *model) { m.deliverIf(0, true) },
-	func(m *model) { m.dropIf(0) },
-	func(m *model) { m.pass(modelDuration / 2) },
+	func(m *model) { m.renewIfRoom(0) },
+	func(m *model) { m.renewIfRoom(1) },
+	func(m *model) { m.deliverIfPresent(0, false) },
+	func(m *model) { m.deliverIfPresent(1, false) },
+	func(m *model) { m.deliverIfPresent(0, true) },
+	func(m *model) { m.dropIfPresent(0) },
+	func(m *model) { m.advance(modelDuration / 2) },
 	func(m *model) { m.grantor.SetOwners(m.now, 0, ownerSets[0]) },
 	func(m *model) { m.grantor.SetOwners(m.now, 0, ownerSets[1]) },
 	func(m *model) { m.grantor.SetOwners(m.now, 0, ownerSets[2]) },
 	func(m *model) { m.grantor.Refresh(0) },
-	func(m *model) { m.releaseIf(0) },
-	func(m *model) { m.releaseIf(1) },
+	func(m *model) { m.releaseIfNotAccepting(0) },
+	func(m *model) { m.releaseIfNotAccepting(1) },
 }
 
-func (m *model) renewBounded(process int) {
-	if len(m.network) < inFlight {
+// renewIfRoom has a process renew unless maxInFlight messages are in flight.
+func (m *model) renewIfRoom(process int) {
+	if len(m.network) < maxInFlight {
 		m.renew(m.processes[process])
 	}
 }
 
-func (m *model) deliverIf(at int, again bool) {
-	if at < len(m.network) && (!again || len(m.network) < inFlight) {
-		m.deliver(at, again)
+// deliverIfPresent delivers the message at an index if there is one. With keep the message stays in flight, which needs
+// room for the answer.
+func (m *model) deliverIfPresent(index int, keep bool) {
+	if index < len(m.network) && (!keep || len(m.network) < maxInFlight) {
+		m.deliver(index, keep)
 	}
 }
 
-func (m *model) dropIf(at int) {
-	if at < len(m.network) {
-		m.network = append(m.network[:at:at], m.network[at+1:]...)
+// dropIfPresent loses the message at an index if there is one.
+func (m *model) dropIfPresent(index int) {
+	if index < len(m.network) {
+		m.network = append(m.network[:index:index], m.network[index+1:]...)
 	}
 }
 
-func (m *model) releaseIf(process int) {
+// releaseIfNotAccepting has a process release the destination unless it is accepting.
+func (m *model) releaseIfNotAccepting(process int) {
 	holder := m.processes[process].holder
 	if assignment, ok := holder.Assignment(0); ok && !assignment.Accepting {
 		holder.Release(0)
 	}
 }
 
-// state returns a text that is the same for states in which the same can happen later, but for the numbers of epochs
-// and requests.
-func (m *model) state() string {
+// fingerprint returns a text that identifies the model's state. States with the same text have the same successors.
+// Times are relative, so that states at different times are equal; epochs and sequence numbers are included, so some
+// equivalent states have different texts.
+func (m *model) fingerprint() string {
 	var text strings.Builder
 	for _, process := range m.processes {
 		h := process.holder
@@ -88,8 +95,8 @@
 	return text.String()
 }
 
-// explore runs all sequences of actions up to a length, each state once, and returns the number of states and the
-// first error of the checker.
+// explore runs all sequences of actions up to a length. It continues from each state only once. It returns the number of
+// states and the first violation.
 func explore(steps int, injected faults) (int, error) {
 	seen := map[string]struct{}{}
 	paths := [][]byte{nil}
@@ -100,11 +107,11 @@
 				next := append(path[:len(path):len(path)], byte(action))
 				m, err := replay(next, injected)
 				if err != nil {
-					return len(seen), fmt.Errorf("after %v: %w", next, err)
+					return len(seen), fmt.Errorf("after actions %v: %w", next, err)
 				}
-				state := m.state()
-				if _, known := seen[state]; !known {
-					seen[state] = struct{}{}
+				fingerprint := m.fingerprint()
+				if _, known := seen[fingerprint]; !known {
+					seen[fingerprint] = struct{}{}
 					longer = append(longer, next)
 				}
 			}
@@ -114,7 +121,7 @@
 	return len(seen), nil
 }
 
-// replay runs actions from the beginning, when both nodes have a lease and own the destination.
+// replay runs actions in a new model in which both nodes have a lease and own the destination.
 func replay(path []byte, injected faults) (*model, error) {
 	m := newModel(2, 1, injected)
 	m.grantor.SetOwners(m.now, 0, ownerSets[2])
@@ -134,7 +141,9 @@
 	return m, nil
 }
 
-func TestAllShortSequences(t *testing.T) {
+// No sequence of up to maxSequenceSteps actions may make quotas or reservations exceed the limit. The exploration has to
+// find the violation if a lowered quota is granted to another node before its confirmation.
+func TestShortSequencesNeverExceedLimit(t *testing.T) {
 	steps := maxSequenceSteps
 	if testing.Short() {
 		steps = 4
@@ -143,8 +152,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Logf("%d states by up to %d steps", states, steps)
+	t.Logf("explored %d states in up to %d steps", states, steps)
 	if _, err := explore(steps, faults{ignoreConfirmation: true}); err == nil {
-		t.Fatal("with a lowered quota taken as confirmed: got no error, want one")
+		t.Fatal("with the fault ignoreConfirmation: got no violation, want one")
 	}
 }
--- a/decide/lease/faults.go
+++ b/decide/lease/faults.go
@@ -2,32 +2,33 @@
 
 import "time"
 
-// faults are mistakes that tests inject into a Grantor, to show that the checker finds them. The zero value injects
+// faults are defects that tests inject into a Grantor, to show that the model checker finds them. The zero value injects
 // none.
 type faults struct {
-	// grantEarly expires leases early.
-	grantEarly bool
-	// ignoreConfirmation grants a lowered quota to others before the holder has confirmed it.
+	// expireEarly ends a session after half of the required wait.
+	expireEarly bool
+	// ignoreConfirmation grants the difference of a lowered quota to others before the holder has confirmed it.
 	ignoreConfirmation bool
-	// ignoreEpoch accepts a release of any epoch, and of a grant that accepts: see releaseCounts.
+	// ignoreEpoch accepts a release that names any epoch, and a release of an accepting grant: see releaseCounts.
 	ignoreEpoch bool
 }
 
-// shortenWait returns the wait for the expiry of a lease.
-func (f faults) shortenWait(wait time.Duration) time.Duration {
-	if f.grantEarly {
+// adjustExpiryWait returns the wait for the expiry of a lease: half of it with the fault expireEarly.
+func (f faults) adjustExpiryWait(wait time.Duration) time.Duration {
+	if f.expireEarly {
 		return wait / 2
 	}
 	return wait
 }
 
-// unconfirmedQuota returns the lowered and unconfirmed quota of a destination if it counts as available, else 0.
-func (f faults) unconfirmedQuota(of *grant) units {
+// unconfirmedQuota returns the amount by which quotas of a destination were lowered without confirmation. With the fault
+// ignoreConfirmation raiseQuota counts it as available. Without the fault it is 0.
+func (f faults) unconfirmedQuota(a *allocation) units {
 	var unconfirmed units
 	if !f.ignoreConfirmation {
 		return unconfirmed
 	}
-	for _, other := range of.allocation.grants {
+	for _, other := range a.grants {
 		unconfirmed += other.reserved - other.quota
 	}
 	return unconfirmed
--- a/decide/lease/grantlist.go
+++ b/decide/lease/grantlist.go
@@ -1,12 +1,13 @@
 package lease
 
-// grantList is the list of a session's grants, ordered by version: what was changed since a version is its end.
+// grantList is a linked list of a session's grants, ordered by version. The grants that were changed after a version are
+// its tail.
 type grantList struct {
 	oldest, newest *grant
 	grantCount     int
 }
 
-// append adds a grant under a version above all others.
+// append adds a grant with a version, which is higher than those of all grants in the list.
 func (l *grantList) append(g *grant, version Version) {
 	g.version = version
 	g.previous, g.next = l.newest, nil
@@ -18,7 +19,7 @@
 	l.newest = g
 }
 
-// unlink takes a grant out of the order.
+// unlink removes a grant from the list.
 func (l *grantList) unlink(g *grant) {
 	if g.previous == nil {
 		l.oldest = g.next
@@ -33,7 +34,7 @@
 	g.previous, g.next = nil, nil
 }
 
-// changedSince returns the grants that were changed after a version, the earliest change first.
+// changedSince returns the grants that were changed after a version, in the order of the changes.
 func (l *grantList) changedSince(version Version) []*grant {
 	lastUnchanged, count := l.newest, 0
 	for lastUnchanged != nil && lastUnchanged.version > version {
--- a/decide/lease/grantor.go
+++ b/decide/lease/grantor.go
@@ -9,16 +9,16 @@
 	"wingmount/internal/container"
 )
 
-// Grantor is the control process's side of all sessions. It is not safe for concurrent use. Times are from any fixed
-// origin; a time before the latest one counts as the latest one.
+// Grantor is the control process's side of all sessions: it grants quotas to nodes. It is not safe for concurrent use.
+// Times are durations since any fixed origin; a time before the latest one counts as the latest one.
 type Grantor struct {
 	config         Config
 	incarnation    Incarnation
-	supersededBy   Incarnation // a newer one that is known, 0 for none
+	supersededBy   Incarnation // the newest incarnation that a node has named, 0 if none is newer
 	now            time.Duration
 	graceEnd       time.Duration
 	graceOver      bool
-	sessionTimeout time.Duration // from an answer until the session's lease has expired
+	sessionTimeout time.Duration // from an answer until the session's lease has certainly expired
 	lastEpoch      Epoch
 	lastSession    SessionID
 	sessions       map[SessionID]*session
@@ -26,14 +26,14 @@
 	allocations    map[placement.DestinationID]*allocation
 	expiries       container.Heap[*session]
 	quarantine     []quarantinedQuota // earliest end first
-	ownersComplete bool               // the owners of all destinations are set
-	updated        []SessionID        // sessions with changes, see TakeUpdated
-	disconnected   []placement.NodeID // nodes whose last session ended, see Advance
+	ownersComplete bool               // MarkOwnersComplete was called
+	updated        []SessionID        // sessions that TakeUpdated will yield
+	disconnected   []placement.NodeID // nodes that Advance will return
 	faults         faults
 }
 
-// NewGrantor returns a grantor that begins now. During its grace period it grants only what is reclaimed. Settings that
-// are 0 have their defaults, except for Slack and Window.
+// NewGrantor returns a grantor whose grace period begins now. During the grace period it grants only reclaimed quotas.
+// Settings that are 0 get their defaults, except for Slack and Window.
 func NewGrantor(now time.Duration, incarnation Incarnation, config Config) *Grantor {
 	config = config.withDefaults()
 	graceEnd := now + config.gracePeriod()
@@ -52,14 +52,14 @@
 	}
 }
 
-// GraceEnd returns when leases of earlier incarnations have expired.
+// GraceEnd returns the end of the grace period: by then leases of earlier incarnations have expired.
 func (g *Grantor) GraceEnd() time.Duration { return g.graceEnd }
 
 // Incarnation returns the grantor's own incarnation.
 func (g *Grantor) Incarnation() Incarnation { return g.incarnation }
 
-// SupersededBy returns a newer incarnation that a node has named, 0 for none. A grantor that knows of one answers
-// nobody.
+// SupersededBy returns the newest incarnation that a node has named if it is newer than the grantor's own, else 0. A
+// superseded grantor answers no requests.
 func (g *Grantor) SupersededBy() Incarnation { return g.supersededBy }
 
 // HasSession reports whether a node has a session.
@@ -71,8 +71,8 @@
 // SessionCount returns the number of sessions.
 func (g *Grantor) SessionCount() int { return len(g.sessions) }
 
-// Advance ends sessions whose lease has expired, and makes quota available whose window has passed. It returns the
-// nodes whose last session has ended since the last call.
+// Advance ends sessions whose lease has expired, and makes released quota available once its window has passed. It
+// returns the nodes whose last session has ended since the previous call of Advance.
 func (g *Grantor) Advance(now time.Duration) []placement.NodeID {
 	g.advance(now)
 	nodes := g.disconnected
@@ -80,7 +80,7 @@
 	return nodes
 }
 
-// advance moves the clock.
+// advance moves the grantor's time forward and processes all deadlines that have passed.
 func (g *Grantor) advance(now time.Duration) {
 	g.now = max(g.now, now)
 	g.expiries.PopUntil(int64(g.now), g.endSession)
@@ -94,8 +94,8 @@
 	}
 }
 
-// NextDeadline returns when Advance has something to do next. It returns false if it has nothing to do until another
-// call changes the grantor.
+// NextDeadline returns the time from which Advance has work to do. It returns false if there is no such time until
+// another method changes the grantor.
 func (g *Grantor) NextDeadline() (time.Duration, bool) {
 	next, exists := time.Duration(math.MaxInt64), false
 	if first, expiry := g.expiries.Min(); first != nil {
@@ -110,7 +110,7 @@
 	return next, exists
 }
 
-// allocationFor returns the allocation of a destination, created if there is none.
+// allocationFor returns the allocation of a destination, and creates it if there is none.
 func (g *Grantor) allocationFor(destination placement.DestinationID) *allocation {
 	a := g.allocations[destination]
 	if a == nil {
@@ -127,7 +127,7 @@
 	}
 }
 
-// nodeFor returns the state of a node, created if there is none.
+// nodeFor returns the state of a node, and creates it if there is none.
 func (g *Grantor) nodeFor(id placement.NodeID) *node {
 	n := g.nodes[id]
 	if n == nil {
@@ -137,7 +137,7 @@
 	return n
 }
 
-// deleteNodeIfUnused deletes a node without sessions that owns nothing.
+// deleteNodeIfUnused deletes the state of a node without sessions and without owned destinations.
 func (g *Grantor) deleteNodeIfUnused(n *node) {
 	if len(n.sessions) == 0 && len(n.owned) == 0 {
 		delete(g.nodes, n.id)
--- a/decide/lease/holder.go
+++ b/decide/lease/holder.go
@@ -7,44 +7,44 @@
 	"wingmount/decide/placement"
 )
 
-// HolderConfig has the settings of a node's side.
+// HolderConfig configures a Holder.
 type HolderConfig struct {
 	Node placement.NodeID
-	// Process distinguishes this process of the node from all others. It is not 0.
+	// Process distinguishes this process of the node from all its other processes. It must not be 0.
 	Process ProcessID
-	// Replaces is an earlier process of the node that has ended, 0 for none.
+	// Replaces is an earlier process of the node that has ended, or 0 for none.
 	Replaces ProcessID
-	// Incarnation is the highest one that an earlier process of the node knew of, 0 for none.
+	// Incarnation is the highest one from which an earlier process of the node received a reply, or 0 for none.
 	Incarnation Incarnation
 }
 
-// pendingRequest is the latest request, while its reply may arrive.
+// pendingRequest is the latest request while it awaits its reply.
 type pendingRequest struct {
-	sequence       uint64 // 0 is none
+	sequence       uint64 // 0 means that no request is pending
 	sent           time.Duration
 	appliedVersion Version
 }
 
-// Holder is a node's side of its session lease. It is not safe for concurrent use. Times are from any fixed origin; one
-// that goes back ends the lease.
+// Holder is a node's side of its session lease. It is not safe for concurrent use. Times are durations since any fixed
+// origin; a time before that of the previous call ends the lease.
 type Holder struct {
 	config             HolderConfig
 	highestIncarnation Incarnation
 	session            SessionID
 	appliedVersion     Version
-	resync             bool // the next request asks for all assignments
+	resync             bool // the next request requests all assignments
 	reclaiming         bool // the next request reclaims the assignments
 	closed             bool
 	sequence           uint64 // of the latest request
 	pending            pendingRequest
-	lastSeen           time.Duration // latest time seen
-	hasLease           bool          // until expiry
+	lastSeen           time.Duration // time of the previous call
+	hasLease           bool          // a lease was granted and has not been ended before its expiry
 	expiry             time.Duration
 	assignments        map[placement.DestinationID]Assignment
-	// released are destinations that are not accepted for and have nothing unfinished: the epoch up to which their
-	// grants are not used.
+	// released maps each released destination to the epoch up to which its grants are no longer used. Such a destination
+	// is not accepting and has no unfinished messages.
 	released map[placement.DestinationID]Epoch
-	// unfinished are destinations with accepted messages and without an assignment.
+	// unfinished contains the destinations with accepted messages but without an assignment.
 	unfinished map[placement.DestinationID]struct{}
 }
 
@@ -59,8 +59,8 @@
 	}
 }
 
-// observeClock records the time. A clock that goes back ends the lease, and drops the request in flight, whose time of
-// sending means nothing any more.
+// observeClock records the time. If the clock has gone back, it ends the lease and drops the pending request, whose
+// sending time is no longer meaningful.
 func (h *Holder) observeClock(now time.Duration) {
 	if now < h.lastSeen {
 		h.Expire()
@@ -69,13 +69,13 @@
 }
 
 // Valid reports whether the lease is valid: it was granted, and its duration has not passed since the request was sent.
-// A now that goes back ends the lease and drops the request in flight.
+// If now is before the time of the previous call, Valid ends the lease and drops the pending request.
 func (h *Holder) Valid(now time.Duration) bool {
 	h.observeClock(now)
 	return h.hasLease && now < h.expiry
 }
 
-// Expiry returns when the lease ends; it is not valid from that time on. Without a lease it is 0.
+// Expiry returns the end of the lease, from which on it is not valid. It returns 0 without a lease.
 func (h *Holder) Expiry() time.Duration {
 	if !h.hasLease {
 		return 0
@@ -83,14 +83,14 @@
 	return h.expiry
 }
 
-// Expire ends the lease now, and drops the request in flight. The next reply may begin a lease again.
+// Expire ends the lease and drops the pending request. The reply to a later request may begin a lease again.
 func (h *Holder) Expire() {
 	h.hasLease = false
 	h.pending = pendingRequest{}
 }
 
-// Renew returns the request to send now. The lease that its reply grants counts from this time. Replies to earlier
-// requests do not count any more.
+// Renew returns the request to send now. The lease that its reply grants counts from now. Replies to earlier requests no
+// longer count.
 func (h *Holder) Renew(now time.Duration) Request {
 	valid := h.Valid(now)
 	h.sequence++
@@ -118,7 +118,7 @@
 	return request
 }
 
-// Close ends the lease for good, and returns the request that closes the session.
+// Close ends the lease permanently, and returns the request that closes the session.
 func (h *Holder) Close(now time.Duration) Request {
 	h.observeClock(now)
 	h.Expire()
@@ -153,29 +153,29 @@
 	return releases
 }
 
-// firstKeys returns the least keys of a map, at most MaxReports.
-func firstKeys[V any](of map[placement.DestinationID]V) []placement.DestinationID {
-	if len(of) == 0 {
+// firstKeys returns the smallest keys of a map, in ascending order and at most MaxReports.
+func firstKeys[V any](m map[placement.DestinationID]V) []placement.DestinationID {
+	if len(m) == 0 {
 		return nil
 	}
-	keys := slices.Sorted(maps.Keys(of))
+	keys := slices.Sorted(maps.Keys(m))
 	return keys[:min(len(keys), MaxReports)]
 }
 
-// HighestIncarnation returns the highest incarnation that a reply named.
+// HighestIncarnation returns the highest incarnation from which a reply was received or that HolderConfig named.
 func (h *Holder) HighestIncarnation() Incarnation { return h.highestIncarnation }
 
 // AppliedVersion returns the version of the assignments.
 func (h *Holder) AppliedVersion() Version { return h.appliedVersion }
 
-// Assignment returns the assignment of a destination, whether the lease is valid or not, and false if there is none.
+// Assignment returns the assignment of a destination, also if the lease is not valid, and false if there is none.
 func (h *Holder) Assignment(destination placement.DestinationID) (Assignment, bool) {
 	assignment, ok := h.assignments[destination]
 	return assignment, ok
 }
 
-// Quota returns the fraction of a destination's limit that may be used now: 0 without a valid lease. A now that goes back
-// ends the lease, as in Valid.
+// Quota returns the fraction of a destination's limit that the node may use now: 0 without a valid lease. If now is
+// before the time of the previous call, Quota ends the lease as Valid does.
 func (h *Holder) Quota(now time.Duration, destination placement.DestinationID) float64 {
 	if !h.Valid(now) {
 		return 0
@@ -183,7 +183,7 @@
 	return h.assignments[destination].Quota
 }
 
-// Assignments calls yield with each assignment, in no order, until it returns false.
+// Assignments calls yield with each assignment, in unspecified order, until yield returns false.
 func (h *Holder) Assignments(yield func(Assignment) bool) {
 	for _, assignment := range h.assignments {
 		if !yield(assignment) {
@@ -195,8 +195,8 @@
 // Len returns the number of assignments.
 func (h *Holder) Len() int { return len(h.assignments) }
 
-// ReportUnfinished records that the node has accepted messages for these destinations. Those without an assignment are
-// reported with the next requests, and get a quota to finish them.
+// ReportUnfinished records that the node has accepted messages for these destinations. The next requests report the
+// destinations without an assignment, which then get a quota to finish the messages.
 func (h *Holder) ReportUnfinished(destinations ...placement.DestinationID) {
 	for _, destination := range destinations {
 		if _, assigned := h.assignments[destination]; !assigned {
@@ -205,8 +205,8 @@
 	}
 }
 
-// Release records that the node has nothing unfinished for a destination that it does not accept for. Its quota is 0 from
-// now on. It returns false, and nothing changes, if the destination is accepted for.
+// Release records that the node has no unfinished messages for a destination that is not accepting. The quota is 0 from
+// now on. If the destination is accepting, Release changes nothing and returns false.
 func (h *Holder) Release(destination placement.DestinationID) bool {
 	assignment, assigned := h.assignments[destination]
 	if assignment.Accepting {
@@ -221,5 +221,5 @@
 	return true
 }
 
-// HasPendingReport reports whether the next request has a release or an unfinished destination to report.
+// HasPendingReport reports whether the next request contains a release or an unfinished destination.
 func (h *Holder) HasPendingReport() bool { return len(h.released) > 0 || len(h.unfinished) > 0 }
--- a/decide/lease/holder_reply.go
+++ b/decide/lease/holder_reply.go
@@ -8,21 +8,21 @@
 	"wingmount/decide/placement"
 )
 
-// Update is what a reply changed.
+// Update contains the changes that a reply made to a holder's assignments.
 type Update struct {
-	// Complete means that the reply had all of the node's assignments.
+	// Complete means that the reply contained all of the node's assignments.
 	Complete bool
-	// Assignments are those that differ from before, ordered by destination. One that the node has no more is Removed.
+	// Assignments contains the changed assignments, ordered by destination. Removed is set in those that ended.
 	Assignments []Assignment
 }
 
-// Receive accepts the reply to the latest request. After an error the assignments and the lease are as they were. Errors
-// wrap ErrStaleIncarnation, ErrUnexpectedReply, ErrMalformed, ErrVersionGap or ErrReclaimRequired; after the last one
-// the next request goes out at once.
+// Receive accepts the reply to the latest request. An error leaves the assignments and the lease unchanged. Errors wrap
+// ErrStaleIncarnation, ErrUnexpectedReply, ErrMalformed, ErrVersionGap or ErrReclaimRequired. After ErrReclaimRequired
+// the caller sends the next request at once.
 func (h *Holder) Receive(now time.Duration, reply Reply) (Update, error) {
 	h.observeClock(now)
 	if reply.Incarnation < h.highestIncarnation {
-		return Update{}, fmt.Errorf("%w: %d, and %d was heard", ErrStaleIncarnation, reply.Incarnation, h.highestIncarnation)
+		return Update{}, fmt.Errorf("%w: got %d, want at least %d", ErrStaleIncarnation, reply.Incarnation, h.highestIncarnation)
 	}
 	if h.closed || h.pending.sequence == 0 || reply.Sequence != h.pending.sequence {
 		return Update{}, ErrUnexpectedReply
@@ -47,51 +47,52 @@
 // validateReply returns an error that wraps ErrMalformed or ErrVersionGap if a reply can't be applied.
 func (h *Holder) validateReply(reply Reply, answered pendingRequest) error {
 	if reply.Incarnation == 0 || reply.Incarnation > MaxIncarnation {
-		return fmt.Errorf("%w: incarnation %d", ErrMalformed, reply.Incarnation)
+		return fmt.Errorf("%w: incarnation %d, want 1 to %d", ErrMalformed, reply.Incarnation, MaxIncarnation)
 	}
 	if reply.ReclaimRequired {
 		return nil
 	}
 	if reply.Duration <= 0 || reply.Duration > MaxDuration {
-		return fmt.Errorf("%w: a lease of %v", ErrMalformed, reply.Duration)
+		return fmt.Errorf("%w: lease duration %v, want above 0 and at most %v", ErrMalformed, reply.Duration, MaxDuration)
 	}
 	if reply.Session.Incarnation() != reply.Incarnation {
-		return fmt.Errorf("%w: session %d is of another incarnation than %d", ErrMalformed, reply.Session, reply.Incarnation)
+		return fmt.Errorf("%w: session %d does not belong to incarnation %d", ErrMalformed, reply.Session, reply.Incarnation)
 	}
 	if !reply.Complete && !h.appliesTo(reply, answered) {
-		return fmt.Errorf("%w: from %d of session %d, and %d of session %d is applied",
+		return fmt.Errorf("%w: changes start at version %d of session %d, applied is version %d of session %d",
 			ErrVersionGap, reply.FromVersion, reply.Session, h.appliedVersion, h.session)
 	}
 	if reply.Session == h.session && reply.Version < h.appliedVersion {
-		return fmt.Errorf("%w: version %d, and %d is applied", ErrMalformed, reply.Version, h.appliedVersion)
+		return fmt.Errorf("%w: version %d is before the applied version %d", ErrMalformed, reply.Version, h.appliedVersion)
 	}
 	return h.validateAssignments(reply)
 }
 
-// appliesTo reports whether the changes of a reply are to the version that is applied.
+// appliesTo reports whether the changes of a reply start at the applied version.
 func (h *Holder) appliesTo(reply Reply, answered pendingRequest) bool {
 	return reply.Session == h.session &&
 		reply.FromVersion == answered.appliedVersion && answered.appliedVersion == h.appliedVersion
 }
 
-// validateAssignments returns an error that wraps ErrMalformed if an assignment of a reply can't be applied. The texts
-// name fields by their JSON names: a share is a Quota.
+// validateAssignments returns an error that wraps ErrMalformed if an assignment of a reply can't be applied. Error texts
+// use the JSON names of fields: a share is a Quota, gone is Removed.
 func (h *Holder) validateAssignments(reply Reply) error {
 	seen := make(map[placement.DestinationID]struct{}, len(reply.Assignments))
 	for _, assignment := range reply.Assignments {
 		destination := assignment.Destination
 		if _, duplicate := seen[destination]; duplicate {
-			return fmt.Errorf("%w: destination %d is there twice", ErrMalformed, destination)
+			return fmt.Errorf("%w: duplicate assignment of destination %d", ErrMalformed, destination)
 		}
 		seen[destination] = struct{}{}
 		if !validQuota(assignment.Quota) {
-			return fmt.Errorf("%w: destination %d has a share of %v", ErrMalformed, destination, assignment.Quota)
+			return fmt.Errorf("%w: destination %d: share is %v, want 0 to 1", ErrMalformed, destination, assignment.Quota)
 		}
 		if assignment.Removed && (assignment.Accepting || assignment.Quota > 0) {
-			return fmt.Errorf("%w: destination %d is gone and has a share", ErrMalformed, destination)
+			return fmt.Errorf("%w: destination %d is gone but accepting or has a share", ErrMalformed, destination)
 		}
 		if known := h.assignments[destination].Epoch; assignment.Epoch < known {
-			return fmt.Errorf("%w: destination %d has epoch %d after %d", ErrMalformed, destination, assignment.Epoch, known)
+			return fmt.Errorf("%w: destination %d: epoch %d is before the applied epoch %d", ErrMalformed,
+				destination, assignment.Epoch, known)
 		}
 	}
 	return nil
@@ -114,8 +115,8 @@
 	return update
 }
 
-// removeMissing removes the assignments that a complete reply does not have. Those that were not released may have
-// unfinished messages, and are reported.
+// removeMissing removes the assignments that a complete reply does not contain, and returns them. Destinations that were
+// not released may have unfinished messages, so the next requests report them as unfinished.
 func (h *Holder) removeMissing(reply Reply) []Assignment {
 	assigned := make(map[placement.DestinationID]struct{}, len(reply.Assignments))
 	for _, assignment := range reply.Assignments {
@@ -140,7 +141,7 @@
 	return removed
 }
 
-// applyAssignment applies one assignment. It returns the assignment as it is in force, and whether that is a change.
+// applyAssignment applies one assignment. It returns the applied assignment, and whether it differs from the one before.
 func (h *Holder) applyAssignment(assignment Assignment) (Assignment, bool) {
 	destination := assignment.Destination
 	before, known := h.assignments[destination]
--- a/decide/lease/margins_test.go
+++ b/decide/lease/margins_test.go
@@ -7,10 +7,10 @@
 	"wingmount/decide/placement"
 )
 
-// The margins of time, each at the last instant before it and at the first instant after it. The expected times are
-// written out: they must not come from the code that they check.
+// The tests of this file check each deadline at the last instant before it and at the first instant from it on. Expected
+// times are literals, so that they do not come from the code under test.
 
-// renewAt has a holder renew at a time that the grantor and the holder both see.
+// renewAt has a holder renew at a time that both clocks show, over a network without delay.
 func renewAt(t *testing.T, g *Grantor, h *Holder, at time.Duration) {
 	t.Helper()
 	request := h.Renew(at)
@@ -27,17 +27,19 @@
 	}
 }
 
-// grantedQuota returns the quota that a grantor has granted to a node, 0 for none.
+// grantedQuota returns the sum of the quotas of a destination that a grantor has granted to a node's sessions.
 func grantedQuota(g *Grantor, destination placement.DestinationID, node placement.NodeID) float64 {
 	quota := 0.0
-	for _, holding := range g.Grants(destination) {
-		if holding.Node == node {
-			quota += holding.Assignment.Quota
+	for _, status := range g.Grants(destination) {
+		if status.Node == node {
+			quota += status.Assignment.Quota
 		}
 	}
 	return quota
 }
 
+// A new grantor must not grant quota before the end of the longest lease of earlier incarnations by the slowest clock, or
+// holders of both incarnations use it at once.
 func TestRestartedGrantorWaitsForEarlierLeases(t *testing.T) {
 	const start = 5 * time.Second
 	for _, test := range []struct {
@@ -60,7 +62,7 @@
 			13 * time.Second,
 		},
 		{"the default drift", Config{Duration: 99 * time.Second}, 100 * time.Second},
-		{"a drift out of bounds", Config{Duration: 99 * time.Second, MaxDrift: 1}, 100 * time.Second},
+		{"an out-of-range drift", Config{Duration: 99 * time.Second, MaxDrift: 1}, 100 * time.Second},
 		{"the default duration", Config{MaxDrift: 0.1}, 200 * time.Second},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -69,7 +71,7 @@
 			if got := g.GraceEnd(); got != want {
 				t.Errorf("end of the grace period: got %v, want %v", got, want)
 			}
-			if next, some := g.NextDeadline(); !some || next != want {
+			if next, ok := g.NextDeadline(); !ok || next != want {
 				t.Errorf("next deadline: got %v, want %v", next, want)
 			}
 			g.SetOwners(start, 0, []placement.NodeID{"a"})
@@ -85,16 +87,17 @@
 	}
 }
 
-// Nodes have to reclaim their assignments as long as leases of earlier incarnations may be valid.
+// Nodes have to reclaim their assignments while leases of earlier incarnations may be valid. Otherwise the new grantor
+// reserves nothing for the quotas that they still use.
 func TestReclaimRequiredDuringGracePeriod(t *testing.T) {
 	for _, test := range []struct {
 		name    string
-		early   time.Duration // before the grantor is ready
+		early   time.Duration // time of the request before the end of the grace period
 		session SessionID
 		want    error
 	}{
-		{"just before", 1, 1<<counterBits + 1, ErrReclaimRequired},
-		{"ready", 0, 1<<counterBits + 1, nil},
+		{"just before the end of the grace period", 1, 1<<counterBits + 1, ErrReclaimRequired},
+		{"at the end of the grace period", 0, 1<<counterBits + 1, nil},
 		{"no earlier session", 1, 0, nil},
 		{"a session of the same incarnation", 1, 2<<counterBits + 9, nil},
 	} {
@@ -108,15 +111,15 @@
 	}
 }
 
-// What the same incarnation granted is not reclaimed.
+// A grantor must ignore reclaims of its own grants: it has their reservations already, or has ended them.
 func TestReclaimOfSameIncarnationIsIgnored(t *testing.T) {
 	for _, test := range []struct {
 		name  string
 		epoch Epoch
 		want  float64
 	}{
-		{"the incarnation before", 2<<counterBits - 1, 0.5},
-		{"the same incarnation", 2 << counterBits, 0},
+		{"the highest epoch of the previous incarnation", 2<<counterBits - 1, 0.5},
+		{"the lowest epoch of the same incarnation", 2 << counterBits, 0},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			g := NewGrantor(0, 2, Config{Duration: 9 * time.Second})
@@ -128,13 +131,15 @@
 				t.Fatal(err)
 			}
 			if got := grantedQuota(g, 4, "a"); got != test.want {
-				t.Errorf("got %v, want %v", got, test.want)
+				t.Errorf("reclaimed quota: got %v, want %v", got, test.want)
 			}
 		})
 	}
 }
 
-func TestSessionExpiry(t *testing.T) {
+// A grantor must not end a session before the holder's lease has expired by the slowest clock. It waits from its latest
+// answer.
+func TestSessionExpiresWaitAfterLatestAnswer(t *testing.T) {
 	for _, test := range []struct {
 		name    string
 		config  Config
@@ -162,23 +167,23 @@
 			if got := g.Grants(0)[0].Expiry; got != test.want {
 				t.Errorf("expiry: got %v, want %v", got, test.want)
 			}
-			if next, some := g.NextDeadline(); !some || next != test.want {
+			if next, ok := g.NextDeadline(); !ok || next != test.want {
 				t.Errorf("next deadline: got %v, want %v", next, test.want)
 			}
-			if dead := g.Advance(test.want - 1); len(dead) != 0 || !g.HasSession("a") {
+			if disconnected := g.Advance(test.want - 1); len(disconnected) != 0 || !g.HasSession("a") {
 				t.Errorf("just before %v: got no session, want one", test.want)
 			}
-			if dead := g.Advance(test.want); len(dead) != 1 || g.HasSession("a") {
+			if disconnected := g.Advance(test.want); len(disconnected) != 1 || g.HasSession("a") {
 				t.Errorf("at %v: got a session, want none", test.want)
 			}
 			if _, err := g.Answer(test.want, session, request); !errors.Is(err, ErrNoSession) {
-				t.Errorf("an answer after the end: got %v, want %v", err, ErrNoSession)
+				t.Errorf("answer after the expiry: got %v, want %v", err, ErrNoSession)
 			}
 		})
 	}
 }
 
-// A session whose request gets no answer expires too.
+// A session must expire also if its first request is never answered; otherwise it is never removed.
 func TestSessionWithoutAnswerExpires(t *testing.T) {
 	g := NewGrantor(0, 1, Config{Duration: 9 * time.Second, MaxDrift: 0.1, Slack: time.Second, NoEarlierLeases: true})
 	if _, err := g.Receive(3*time.Second, Request{Node: "a", Process: 1, Sequence: 1}); err != nil {
@@ -192,7 +197,7 @@
 	}
 }
 
-// A holder that closed its session uses no quota, whatever reply arrives.
+// A holder that closed its session must not get a lease by a later reply: the grantor has granted its quota to others.
 func TestClosedHolderHasNoLease(t *testing.T) {
 	h := NewHolder(HolderConfig{Node: "a", Process: 1})
 	h.Renew(0)
@@ -207,19 +212,20 @@
 	reply := replyWithQuota(9*time.Second, 5)
 	reply.Sequence = 2
 	if _, err := h.Receive(2, reply); !errors.Is(err, ErrUnexpectedReply) {
-		t.Errorf("a reply after Close: got %v, want %v", err, ErrUnexpectedReply)
+		t.Errorf("reply after Close: got %v, want %v", err, ErrUnexpectedReply)
 	}
 }
 
-// Quota that a node has released is granted to another one a window later, whichever way it was released.
+// Quota that a node no longer uses is granted to another node only a window later, for each way in which the node can lose
+// it. Otherwise the calls of both nodes in one window exceed the limit.
 func TestReleasedQuotaWaitsForWindow(t *testing.T) {
 	const window = 2 * time.Second
 	for _, test := range []struct {
 		name    string
 		owners  []placement.NodeID
 		release func(t *testing.T, g *Grantor, a, b *Holder)
-		at      time.Duration // when it is released
-		want    float64       // of the other one, a window later
+		at      time.Duration // time of the release
+		want    float64       // quota of the other node, a window later
 	}{
 		{"a lowered quota is confirmed", []placement.NodeID{"a", "b"}, func(t *testing.T, g *Grantor, a, _ *Holder) {
 			t.Helper()
@@ -232,7 +238,7 @@
 			}
 			renewAt(t, g, a, 11*time.Second)
 		}, 11 * time.Second, 1},
-		{"a process that leaves", []placement.NodeID{"b"}, func(t *testing.T, g *Grantor, a, _ *Holder) {
+		{"a process that closes its session", []placement.NodeID{"b"}, func(t *testing.T, g *Grantor, a, _ *Holder) {
 			t.Helper()
 			if _, err := g.Receive(11*time.Second, a.Close(11*time.Second)); err != nil {
 				t.Fatal(err)
@@ -242,7 +248,7 @@
 			t.Helper()
 			renewAt(t, g, NewHolder(HolderConfig{Node: "a", Process: 2, Replaces: 1}), 11*time.Second)
 		}, 11 * time.Second, 1},
-		{"a lease that ends", []placement.NodeID{"b"}, func(t *testing.T, g *Grantor, _, b *Holder) {
+		{"a lease that expires", []placement.NodeID{"b"}, func(t *testing.T, g *Grantor, _, b *Holder) {
 			t.Helper()
 			renewAt(t, g, b, 110*time.Second)
 			g.Advance(111 * time.Second)
@@ -260,10 +266,10 @@
 			renewAt(t, g, b, 10*time.Second)
 			renewAt(t, g, b, 11*time.Second-1)
 			if quota := grantedQuota(g, 0, "b"); quota != 0 {
-				t.Fatalf("before anything is released: got quota %v, want 0", quota)
+				t.Fatalf("before the release: got quota %v, want 0", quota)
 			}
 			test.release(t, g, a, b)
-			if next, some := g.NextDeadline(); !some || next != test.at+window {
+			if next, ok := g.NextDeadline(); !ok || next != test.at+window {
 				t.Errorf("next deadline: got %v, want %v", next, test.at+window)
 			}
 			g.Advance(test.at + window - 1)
@@ -278,7 +284,7 @@
 	}
 }
 
-// A grantor that learns of a newer incarnation answers no request any more, not even one that it received before.
+// Once a request names a newer incarnation, the grantor must answer no request, not even one that it received before.
 func TestSupersededGrantorAnswersNoEarlierRequest(t *testing.T) {
 	for _, test := range []struct {
 		name        string
@@ -296,19 +302,19 @@
 				t.Fatal(err)
 			}
 			if _, err := g.Receive(0, Request{Node: "b", Process: 1, Sequence: 1, Incarnation: test.incarnation}); !errors.Is(err, test.want) {
-				t.Errorf("received: got %v, want %v", err, test.want)
+				t.Errorf("Receive of the request that names incarnation %d: got %v, want %v", test.incarnation, err, test.want)
 			}
 			if _, err := g.Answer(0, session, request); !errors.Is(err, test.want) {
-				t.Errorf("answered: got %v, want %v", err, test.want)
+				t.Errorf("Answer to the earlier request: got %v, want %v", err, test.want)
 			}
 			if _, err := g.Receive(0, Request{Node: "a", Process: 1, Sequence: 2}); !errors.Is(err, test.want) {
-				t.Errorf("received later: got %v, want %v", err, test.want)
+				t.Errorf("Receive of a later request: got %v, want %v", err, test.want)
 			}
 		})
 	}
 }
 
-// replyWithQuota returns a reply to the first request of a holder, with all of the limit of destination 0.
+// replyWithQuota returns a reply to the first request of a holder. It assigns the whole limit of destination 0.
 func replyWithQuota(duration time.Duration, incarnation Incarnation) Reply {
 	return Reply{
 		Incarnation: incarnation, Session: SessionID(incarnation)<<counterBits + 1, Sequence: 1, Duration: duration,
@@ -317,14 +323,16 @@
 	}
 }
 
-func TestHolderReplyBounds(t *testing.T) {
+// A holder must reject lease durations and incarnations out of bounds: an endless lease, for instance, outlasts the
+// grantor's wait.
+func TestHolderRejectsReplyOutOfBounds(t *testing.T) {
 	for _, test := range []struct {
 		name  string
 		reply Reply
 		want  error
 	}{
 		{"the shortest lease", replyWithQuota(1, 5), nil},
-		{"no lease", replyWithQuota(0, 5), ErrMalformed},
+		{"a lease of duration 0", replyWithQuota(0, 5), ErrMalformed},
 		{"the longest lease", replyWithQuota(time.Hour, 5), nil},
 		{"over the longest lease", replyWithQuota(time.Hour+1, 5), ErrMalformed},
 		{"an older incarnation", replyWithQuota(time.Second, 4), ErrStaleIncarnation},
@@ -336,29 +344,31 @@
 			h := NewHolder(HolderConfig{Node: "a", Process: 1, Incarnation: 5})
 			h.Renew(7 * time.Second)
 			if _, err := h.Receive(7*time.Second, test.reply); !errors.Is(err, test.want) {
-				t.Errorf("got %v, want %v", err, test.want)
+				t.Errorf("Receive: got %v, want %v", err, test.want)
 			}
 		})
 	}
 }
 
-func TestHolderLeaseExpiry(t *testing.T) {
+// A holder must not use its quota from the end of the lease on, however late the reply arrived, or after its clock has
+// gone back.
+func TestHolderLeaseExpiresDurationAfterSending(t *testing.T) {
 	const sent, duration = 7 * time.Second, 9 * time.Second
 	for _, test := range []struct {
 		name     string
 		received time.Duration
-		look     []time.Duration // the times at which it looks at its clock
-		want     float64         // its quota at the last of them
+		readings []time.Duration // the times at which the holder reads its clock
+		want     float64         // the holder's quota at the last of them
 	}{
 		{"at the sending", sent, []time.Duration{sent}, 1},
 		{"just before the end", sent, []time.Duration{sent + duration - 1}, 1},
-		{"the end", sent, []time.Duration{sent + duration}, 0},
+		{"at the end", sent, []time.Duration{sent + duration}, 0},
 		{"received late, just before the end", sent + duration - 1, []time.Duration{sent + duration - 1}, 1},
-		{"received late, the end", sent + duration - 1, []time.Duration{sent + duration}, 0},
+		{"received late, at the end", sent + duration - 1, []time.Duration{sent + duration}, 0},
 		{"received after the end", sent + duration, []time.Duration{sent + duration}, 0},
 		{"the same time again", sent, []time.Duration{sent + 1, sent + 1}, 1},
 		{"a clock that went back", sent, []time.Duration{sent + 1, sent}, 0},
-		{"and forward again", sent, []time.Duration{sent + 1, sent, sent + 2}, 0},
+		{"a clock that went back and then forward", sent, []time.Duration{sent + 1, sent, sent + 2}, 0},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			h := NewHolder(HolderConfig{Node: "a", Process: 1})
@@ -367,7 +377,7 @@
 				t.Fatal(err)
 			}
 			quota := 0.0
-			for _, now := range test.look {
+			for _, now := range test.readings {
 				quota = h.Quota(now, 0)
 			}
 			if quota != test.want {
@@ -377,11 +387,12 @@
 	}
 }
 
-// A clock that went back between a request and its reply makes the time of sending mean nothing.
+// If the clock goes back between a request and its reply, the sending time is no longer meaningful. A lease that counts
+// from it could outlast the grantor's wait.
 func TestHolderClockGoingBackDropsRequest(t *testing.T) {
 	h := NewHolder(HolderConfig{Node: "a", Process: 1})
 	h.Renew(7 * time.Second)
 	if _, err := h.Receive(7*time.Second-1, replyWithQuota(time.Second, 5)); !errors.Is(err, ErrUnexpectedReply) {
-		t.Errorf("got %v, want %v", err, ErrUnexpectedReply)
+		t.Errorf("reply after the step back: got %v, want %v", err, ErrUnexpectedReply)
 	}
 }
--- a/decide/lease/model_test.go
+++ b/decide/lease/model_test.go
@@ -8,7 +8,7 @@
 	"wingmount/decide/placement"
 )
 
-// The lease of the model, in seconds.
+// The lease settings of the model: clocks may drift by a tenth.
 const (
 	modelDuration = 9 * time.Second
 	modelDrift    = 0.1
@@ -22,30 +22,30 @@
 	}
 }
 
-// modelProcess is a process of a node: a holder with a clock of its own.
+// modelProcess is a process of a node: a holder with its own clock.
 type modelProcess struct {
 	holder *Holder
 	node   placement.NodeID
 	id     ProcessID
-	rate   float64 // of its clock
+	rate   float64 // seconds that its clock advances per second
 	clock  time.Duration
-	dead   bool
+	killed bool
 	paused bool
-	inbox  []Reply // arrived during a pause
+	inbox  []Reply // replies that arrived during a pause
 }
 
-// message is in flight from or to a process.
+// message is a request from a process or a reply to it, in flight.
 type message struct {
 	process *modelProcess
 	request *Request // nil for a reply
 	reply   Reply
 }
 
-// model is a control process, nodes, and a network that loses, delays and repeats messages.
+// model simulates a control process, nodes, and a network that loses, delays, reorders and duplicates messages.
 type model struct {
 	now          time.Duration
 	grantor      *Grantor
-	older        []*Grantor // earlier incarnations, which still answer nodes that know of a newer one
+	older        []*Grantor // earlier incarnations, which still receive requests that name a newer one
 	incarnation  Incarnation
 	faults       faults
 	processes    []*modelProcess
@@ -53,12 +53,12 @@
 	destinations []placement.DestinationID
 	nodes        []placement.NodeID
 	network      []message
-	calm         bool // no pauses, jumps and restarts
+	messagesOnly bool // processes do not pause or restart, and clocks do not step
 	samples      []sample
-	violation    error // the first one
+	violation    error // the first violation that check found
 }
 
-// sample is what was in force at some time.
+// sample is the quota that a process could use at some time.
 type sample struct {
 	at          time.Duration
 	process     ProcessID
@@ -81,20 +81,20 @@
 	return m
 }
 
-// restartControl starts the next incarnation of the control process. The one before answers no request any more,
-// except those of nodes that know of the newer one.
-func (m *model) restartControl(fresh bool) {
+// restartControl starts the next incarnation of the control process. The earlier one then receives only requests that
+// name the newer one.
+func (m *model) restartControl(noEarlierLeases bool) {
 	if m.grantor != nil {
 		m.older = append(m.older, m.grantor)
 	}
 	m.incarnation++
 	config := modelConfig()
-	config.NoEarlierLeases = fresh
+	config.NoEarlierLeases = noEarlierLeases
 	m.grantor = NewGrantor(m.now, m.incarnation, config)
 	m.grantor.faults = m.faults
 }
 
-// start begins a process of a node.
+// start starts a process of a node.
 func (m *model) start(node placement.NodeID, replaces ProcessID, rate float64) *modelProcess {
 	m.nextProcess++
 	process := &modelProcess{
@@ -105,26 +105,27 @@
 	return process
 }
 
-// kill ends a process; what it sent may still arrive.
+// kill ends a process. Messages that it sent may still arrive.
 func (m *model) kill(process *modelProcess) {
-	process.dead = true
+	process.killed = true
 	m.processes = slices.DeleteFunc(m.processes, func(other *modelProcess) bool { return other == process })
 }
 
-// pass lets time go by, and checks the quotas in between.
-func (m *model) pass(elapsed time.Duration) {
-	for elapsed > 0 {
-		part := min(elapsed, modelWindow/4)
-		elapsed -= part
-		m.now += part
+// advance advances all clocks by a duration, in steps of a quarter of the window at most. It checks the quotas after each
+// step.
+func (m *model) advance(duration time.Duration) {
+	for duration > 0 {
+		step := min(duration, modelWindow/4)
+		duration -= step
+		m.now += step
 		for _, process := range m.processes {
-			process.clock += time.Duration(float64(part) * process.rate)
+			process.clock += time.Duration(float64(step) * process.rate)
 		}
 		_ = m.check()
 	}
 }
 
-// renew sends a request of a process.
+// renew has a process send a request unless it is paused.
 func (m *model) renew(process *modelProcess) {
 	if process.paused {
 		return
@@ -133,11 +134,11 @@
 	m.network = append(m.network, message{process: process, request: &request})
 }
 
-// deliver delivers a message, and removes it from the network unless it comes again.
-func (m *model) deliver(at int, again bool) {
-	message := m.network[at]
-	if !again {
-		m.network = slices.Delete(m.network, at, at+1)
+// deliver delivers the message at an index of the network. With keep the message stays in flight, to be delivered again.
+func (m *model) deliver(index int, keep bool) {
+	message := m.network[index]
+	if !keep {
+		m.network = slices.Delete(m.network, index, index+1)
 	}
 	if message.request == nil {
 		m.receiveReply(message.process, message.reply)
@@ -146,9 +147,10 @@
 	m.receiveRequest(message.process, *message.request)
 }
 
+// receiveReply has a process receive a reply, or queue it during a pause.
 func (m *model) receiveReply(process *modelProcess, reply Reply) {
 	switch {
-	case process.dead:
+	case process.killed:
 	case process.paused:
 		process.inbox = append(process.inbox, reply)
 	default:
@@ -156,7 +158,7 @@
 	}
 }
 
-// receiveRequest has a request answered, also by the older incarnations if the node knows of a newer one.
+// receiveRequest delivers a request to the grantor, and also to the older incarnations if it names a newer one.
 func (m *model) receiveRequest(process *modelProcess, request Request) {
 	m.answer(m.grantor, process, request)
 	for _, older := range m.older {
@@ -166,6 +168,7 @@
 	}
 }
 
+// answer has a grantor answer a request, and puts the reply into the network.
 func (m *model) answer(grantor *Grantor, process *modelProcess, request Request) {
 	session, err := grantor.Receive(m.now, request)
 	if errors.Is(err, ErrReclaimRequired) {
@@ -182,8 +185,8 @@
 	}
 }
 
-// wake ends a pause: the process receives what arrived.
-func (m *model) wake(process *modelProcess) {
+// resume ends a pause: the process receives the replies that arrived during it.
+func (m *model) resume(process *modelProcess) {
 	process.paused = false
 	inbox := process.inbox
 	process.inbox = nil
@@ -192,8 +195,9 @@
 	}
 }
 
-// check returns an error if the quotas in force of a destination, now or within a window, exceed its limit: what one
-// process has used another one must not use again. Processes that were killed count too.
+// check returns an error if the sum of a destination's quotas exceeds the limit. It sums the largest quota of each process
+// within a window, because another process must not use again the quota that one has used in the same window. The sum
+// includes samples of processes that were killed since.
 func (m *model) check() error {
 	if m.violation != nil {
 		return m.violation
@@ -216,25 +220,26 @@
 			}
 		}
 		if sum > 1 {
-			m.violation = fmt.Errorf("at %v destination %d has quotas of %v in force in a window, want 1 at most", m.now, destination, sum)
+			m.violation = fmt.Errorf("at %v: destination %d: sum of quotas within a window: got %v, want 1 at most", m.now, destination, sum)
 		}
 	}
 	return m.violation
 }
 
-// checkReservations returns an error if a grantor has reserved more than the limit, or its lists are inconsistent.
+// checkReservations returns an error if a grantor has reserved more than the limit, or if its lists of grants are
+// inconsistent.
 func checkReservations(g *Grantor) error {
 	grants := 0
 	for destination, a := range g.allocations {
 		if a.available() < 0 {
-			return fmt.Errorf("destination %d: %v too much is reserved", destination, -a.available())
+			return fmt.Errorf("destination %d: reservations exceed the limit by %v units", destination, -a.available())
 		}
 		for _, granted := range a.grants {
 			if granted.quota > granted.reserved {
-				return fmt.Errorf("destination %d: %v is granted and %v reserved", destination, granted.quota, granted.reserved)
+				return fmt.Errorf("destination %d: quota of %v units exceeds the reservation of %v units", destination, granted.quota, granted.reserved)
 			}
 			if g.sessions[granted.session.id] != granted.session {
-				return fmt.Errorf("destination %d: a grant of a session that has ended", destination)
+				return fmt.Errorf("destination %d: grant of a session that has ended", destination)
 			}
 			grants++
 		}
@@ -244,23 +249,23 @@
 		version, count := Version(0), 0
 		for granted := s.oldest; granted != nil; granted = granted.next {
 			if granted.version <= version {
-				return fmt.Errorf("session %d: version %d after %d", s.id, granted.version, version)
+				return fmt.Errorf("session %d: grant with version %d follows one with version %d", s.id, granted.version, version)
 			}
 			version = granted.version
 			count++
 		}
 		if count != s.grantCount {
-			return fmt.Errorf("session %d: %d grants bySession, %d counted", s.id, count, s.grantCount)
+			return fmt.Errorf("session %d: list has %d grants, grantCount is %d", s.id, count, s.grantCount)
 		}
 		bySession += count
 	}
 	if bySession != grants {
-		return fmt.Errorf("%d grants by destination, %d by session", grants, bySession)
+		return fmt.Errorf("got %d grants in allocations and %d in sessions, want the same number", grants, bySession)
 	}
 	return nil
 }
 
-// exchange has a process renew over a network that works.
+// exchange has a process renew over a network without faults. It repeats the request if the grantor requires a reclaim.
 func (m *model) exchange(process *modelProcess) error {
 	for range 2 {
 		request := process.holder.Renew(process.clock)
@@ -280,7 +285,8 @@
 	return nil
 }
 
-// settle has all processes renew until nothing changes, and release what they do not accept for.
+// settle has all processes renew, and release destinations that are not accepting, 30 times: enough for all changes to
+// complete.
 func (m *model) settle(t interface {
 	Helper()
 	Fatal(...any)
@@ -289,10 +295,10 @@
 	t.Helper()
 	m.network = nil
 	for range 30 {
-		m.pass(modelDuration / 4)
+		m.advance(modelDuration / 4)
 		for _, process := range m.processes {
 			if process.paused {
-				m.wake(process)
+				m.resume(process)
 			}
 			for _, destination := range m.destinations {
 				if assignment, ok := process.holder.Assignment(destination); ok && !assignment.Accepting {
--- a/decide/lease/owners.go
+++ b/decide/lease/owners.go
@@ -7,8 +7,8 @@
 	"wingmount/decide/placement"
 )
 
-// SetOwners sets the nodes that own a destination from now on. Quotas follow in steps that never let their sum exceed
-// the full limit.
+// SetOwners sets the nodes that own a destination from now on. Quotas change in steps during which their sum never
+// exceeds the full limit.
 func (g *Grantor) SetOwners(now time.Duration, destination placement.DestinationID, owners []placement.NodeID) {
 	g.advance(now)
 	a := g.allocationFor(destination)
@@ -41,8 +41,8 @@
 	g.deleteAllocationIfUnused(a)
 }
 
-// MarkOwnersComplete records that SetOwners was called for every destination that has owners. Destinations that were
-// reclaimed, and that it was not called for, have no owners.
+// MarkOwnersComplete records that SetOwners was called for every destination that has owners. Reclaimed destinations for
+// which it was not called have no owners.
 func (g *Grantor) MarkOwnersComplete(now time.Duration) {
 	g.advance(now)
 	if g.ownersComplete {
@@ -56,8 +56,8 @@
 	}
 }
 
-// Refresh sends all holders of a destination their assignment once more, under the same epoch, because something else
-// that they know of the destination has changed. Quotas stay.
+// Refresh sends all holders of a destination their assignment again, with the same epoch and the same quota. The caller
+// uses it after a change of other data about the destination that the holders have.
 func (g *Grantor) Refresh(destination placement.DestinationID) {
 	a := g.allocations[destination]
 	if a == nil {
@@ -72,9 +72,10 @@
 	}
 }
 
-// ensureGrant returns a session's grant of a destination. A new one, or one that was released, has no quota yet.
+// ensureGrant returns a session's grant of a destination. It adds the grant if there is none, and takes back a release.
+// In both cases the grant has no quota yet.
 func (g *Grantor) ensureGrant(a *allocation, s *session) *grant {
-	granted := a.grantOf(s)
+	granted := a.findGrant(s)
 	if granted == nil {
 		granted = &grant{allocation: a, session: s}
 		g.addGrant(granted)
--- a/decide/lease/property_test.go
+++ b/decide/lease/property_test.go
@@ -9,41 +9,43 @@
 	"pgregory.net/rapid"
 )
 
-// chooser draws what happens next: from rapid, or from a generator.
+// chooser draws the model's next action and its parameters, from rapid or from a random generator.
 type chooser interface {
-	below(n int, label string) int
+	// intN returns a number from 0 to n-1.
+	intN(n int, label string) int
 }
 
 type rapidChooser struct{ t *rapid.T }
 
-func (c rapidChooser) below(n int, label string) int { return rapid.IntRange(0, n-1).Draw(c.t, label) }
+func (c rapidChooser) intN(n int, label string) int { return rapid.IntRange(0, n-1).Draw(c.t, label) }
 
 type randomChooser struct{ rng *rand.Rand }
 
-func (c randomChooser) below(n int, _ string) int { return c.rng.IntN(n) }
+func (c randomChooser) intN(n int, _ string) int { return c.rng.IntN(n) }
 
-// modelInFlight bounds the messages in flight; the oldest ones are lost.
+// modelInFlight bounds the number of messages in flight. The oldest messages beyond it are lost.
 const modelInFlight = 8
 
-// drawRate is the rate of a holder's clock: the grantor's is 1, and a holder's is slower or faster by up to the bound.
-func drawRate(c chooser) float64 { return 1 - modelDrift + 2*modelDrift*float64(c.below(5, "rate"))/4 }
+// drawRate returns the rate of a holder's clock. The grantor's rate is 1, and a holder's is slower or faster by up to
+// modelDrift.
+func drawRate(c chooser) float64 { return 1 - modelDrift + 2*modelDrift*float64(c.intN(5, "rate"))/4 }
 
-// drift gives each process a clock of its own.
-func (m *model) drift(c chooser) {
+// drawClockRates gives each process's clock a random rate.
+func (m *model) drawClockRates(c chooser) {
 	for _, process := range m.processes {
 		process.rate = drawRate(c)
 	}
 }
 
-// step lets one thing happen.
+// step runs one random action.
 func (m *model) step(c chooser) {
-	process := m.processes[c.below(len(m.processes), "process")]
-	destination := m.destinations[c.below(len(m.destinations), "destination")]
+	process := m.processes[c.intN(len(m.processes), "process")]
+	destination := m.destinations[c.intN(len(m.destinations), "destination")]
 	actions := 21
-	if m.calm {
+	if m.messagesOnly {
 		actions = 17
 	}
-	switch c.below(actions, "action") {
+	switch c.intN(actions, "action") {
 	case 0, 1:
 		m.renew(process)
 		m.network = m.network[max(0, len(m.network)-modelInFlight):]
@@ -53,14 +55,14 @@
 		}
 	case 4, 5, 6, 7, 8:
 		if len(m.network) > 0 {
-			m.deliver(c.below(len(m.network), "message"), c.below(4, "again") == 0)
+			m.deliver(c.intN(len(m.network), "message"), c.intN(4, "duplicate") == 0)
 		}
 	case 9:
 		if len(m.network) > 0 {
 			m.network = m.network[1:]
 		}
 	case 10, 11:
-		m.pass(time.Duration(1+c.below(30, "tenths")) * modelDuration / 30)
+		m.advance(time.Duration(1+c.intN(30, "tenths")) * modelDuration / 30)
 	case 12:
 		m.setOwners(c, destination)
 	case 13:
@@ -74,21 +76,22 @@
 	case 16:
 		m.grantor.Refresh(destination)
 	case 17:
-		m.pauseOrWake(process)
+		m.togglePause(process)
 	case 18:
-		m.jump(c, process)
+		m.stepClock(c, process)
 	case 19:
 		m.restartNode(c, process)
 	case 20:
-		if c.below(3, "control") == 0 {
+		if c.intN(3, "control") == 0 {
 			m.restartControl(false)
 		}
 	}
 }
 
+// setOwners sets a random subset of the nodes as owners of a destination.
 func (m *model) setOwners(c chooser, destination placement.DestinationID) {
 	var owners []placement.NodeID
-	set := c.below(1<<len(m.nodes), "owners")
+	set := c.intN(1<<len(m.nodes), "owners")
 	for i, node := range m.nodes {
 		if set&(1<<i) != 0 {
 			owners = append(owners, node)
@@ -97,25 +100,27 @@
 	m.grantor.SetOwners(m.now, destination, owners)
 }
 
-func (m *model) pauseOrWake(process *modelProcess) {
+func (m *model) togglePause(process *modelProcess) {
 	if process.paused {
-		m.wake(process)
+		m.resume(process)
 	} else {
 		process.paused = true
 	}
 }
 
-// jump steps a clock. The holder sees each step: that none is missed is its caller's responsibility.
-func (m *model) jump(c chooser, process *modelProcess) {
-	process.clock += time.Duration(c.below(61, "jump")-30) * time.Second
+// stepClock steps a process's clock by -30 to 30 s. The holder observes each step at once: its caller has to ensure that it
+// misses none.
+func (m *model) stepClock(c chooser, process *modelProcess) {
+	process.clock += time.Duration(c.intN(61, "clock step")-30) * time.Second
 	process.holder.Valid(process.clock)
 }
 
-// restartNode replaces a process that was killed, and is named by the new one or not; that has closed; or that still runs.
+// restartNode starts a new process of a process's node. The old process was killed and is named in Replaces, was killed
+// and is not named, has closed its session, or still runs unless there are more than 6 processes.
 func (m *model) restartNode(c chooser, process *modelProcess) {
 	rate := drawRate(c)
 	replaces := ProcessID(0)
-	switch c.below(4, "restart") {
+	switch c.intN(4, "restart") {
 	case 0:
 		m.kill(process)
 		replaces = process.id
@@ -133,6 +138,7 @@
 	m.start(process.node, replaces, rate)
 }
 
+// checkAll checks the quotas that holders may use and the grantor's reservations.
 func (m *model) checkAll() error {
 	if err := m.check(); err != nil {
 		return err
@@ -140,10 +146,12 @@
 	return checkReservations(m.grantor)
 }
 
-func TestSumOfQuotasNeverExceedsOne(t *testing.T) {
+// The sum of a destination's quotas must not exceed 1 while messages are lost, delayed and duplicated, processes pause
+// and restart, and clocks step and drift.
+func TestQuotasUnderFaultsNeverExceedLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newModel(3, 2, faults{})
-		m.drift(rapidChooser{t})
+		m.drawClockRates(rapidChooser{t})
 		for range rapid.IntRange(20, 300).Draw(t, "steps") {
 			m.step(rapidChooser{t})
 			if err := m.checkAll(); err != nil {
@@ -153,17 +161,17 @@
 	})
 }
 
-// runRandomSteps runs random steps and returns the first error of the checker.
+// runRandomSteps runs random steps of a new model and returns the first violation.
 func runRandomSteps(seed uint64, steps int, injected faults) error {
 	m := newModel(3, 2, injected)
-	m.calm = seed%2 == 1
+	m.messagesOnly = seed%2 == 1
 	if injected.ignoreEpoch {
-		// This takes a release that comes late, after its destination was granted again.
+		// A violation needs a delayed release that arrives after its destination was granted again.
 		m = newModel(2, 1, injected)
-		m.calm = true
+		m.messagesOnly = true
 	}
 	c := randomChooser{rand.New(rand.NewPCG(seed, 35))}
-	m.drift(c)
+	m.drawClockRates(c)
 	for range steps {
 		m.step(c)
 		if err := m.check(); err != nil {
@@ -173,43 +181,47 @@
 	return nil
 }
 
-// The random runs of TestCheckerFindsSeededFaults, and the steps of each.
+// The numbers of random runs of TestModelFindsInjectedFaults, and of the steps in each run.
 const (
 	faultRuns     = 2000
 	faultFreeRuns = 1000
 	stepsPerRun   = 400
 )
 
-func TestCheckerFindsSeededFaults(t *testing.T) {
+// Without the rules that the faults break, the quotas of a destination exceed its limit. The model has to find each fault
+// in faultRuns random runs, and no violation in faultFreeRuns runs without a fault.
+func TestModelFindsInjectedFaults(t *testing.T) {
 	for _, test := range []struct {
 		name     string
 		injected faults
 	}{
-		{"a lease granted early", faults{grantEarly: true}},
-		{"a lowered quota taken as confirmed", faults{ignoreConfirmation: true}},
-		{"an epoch not checked", faults{ignoreEpoch: true}},
+		{"a session that ends before its lease", faults{expireEarly: true}},
+		{"a lowered quota granted before its confirmation", faults{ignoreConfirmation: true}},
+		{"a release whose epoch is not checked", faults{ignoreEpoch: true}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			for seed := range uint64(faultRuns) {
 				if err := runRandomSteps(seed, stepsPerRun, test.injected); err != nil {
-					t.Logf("found by run %d: %v", seed+1, err)
+					t.Logf("run %d found the fault: %v", seed+1, err)
 					return
 				}
 			}
-			t.Fatalf("got no error in %d runs, want one", faultRuns)
+			t.Fatalf("got no violation in %d runs, want one", faultRuns)
 		})
 	}
 	for seed := range uint64(faultFreeRuns) {
 		if err := runRandomSteps(seed, stepsPerRun, faults{}); err != nil {
-			t.Fatalf("without a fault, seed %d: %v", seed, err)
+			t.Fatalf("without a fault, seed %d: got %v, want no violation", seed, err)
 		}
 	}
 }
 
-func TestAllIsGrantedOnceThingsAreQuiet(t *testing.T) {
+// After any sequence of faults, owners must get the whole limit again once messages are delivered: no reservation may stay
+// without a holder.
+func TestOwnersWithoutFaultsGetWholeLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newModel(3, 2, faults{})
-		m.drift(rapidChooser{t})
+		m.drawClockRates(rapidChooser{t})
 		for range rapid.IntRange(0, 150).Draw(t, "steps") {
 			m.step(rapidChooser{t})
 		}
@@ -217,20 +229,20 @@
 			0: {"n0", "n1"},
 			1: {"n2"},
 		}
-		m.settleQuietly(t)
+		m.settleOneProcessPerNode(t)
 		for destination, nodes := range owners {
 			m.grantor.SetOwners(m.now, destination, nodes)
 		}
 		m.grantor.MarkOwnersComplete(m.now)
-		m.settleQuietly(t)
+		m.settleOneProcessPerNode(t)
 		for destination, nodes := range owners {
 			m.expectOwners(t, destination, nodes)
 		}
 	})
 }
 
-// settleQuietly ends the second processes of nodes, and settles.
-func (m *model) settleQuietly(t *rapid.T) {
+// settleOneProcessPerNode kills all processes of a node but the first, and settles.
+func (m *model) settleOneProcessPerNode(t *rapid.T) {
 	first := map[placement.NodeID]*modelProcess{}
 	for _, process := range append([]*modelProcess(nil), m.processes...) {
 		if first[process.node] != nil {
@@ -242,7 +254,8 @@
 	m.settle(t)
 }
 
-// expectOwners checks that the owners quota the limit of a destination equally, and that nobody else has a quota.
+// expectOwners checks that the owners of a destination share its limit equally, and that no other node has an assignment
+// of it.
 func (m *model) expectOwners(t *rapid.T, destination placement.DestinationID, nodes []placement.NodeID) {
 	want := (fullLimit / units(len(nodes))).fraction()
 	for _, process := range m.processes {
--- a/decide/lease/quarantine.go
+++ b/decide/lease/quarantine.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// quarantinedQuota is released quota that may not be granted yet: its last holder may have used it within the window
-// over which the destination counts calls.
+// quarantinedQuota is released quota that must not be granted yet, because its last holder may have used it within the
+// window over which the destination counts calls.
 type quarantinedQuota struct {
 	allocation *allocation
 	amount     units
 	until      time.Duration
 }
 
-// quarantineQuota keeps released quota from being granted for Config.Window from now on.
+// quarantineQuota prevents released quota from being granted for Config.Window from now on.
 func (g *Grantor) quarantineQuota(a *allocation, amount units) {
 	if amount <= 0 || g.config.Window <= 0 {
 		return
@@ -19,7 +19,7 @@
 	g.quarantine = append(g.quarantine, quarantinedQuota{allocation: a, amount: amount, until: g.now + g.config.Window})
 }
 
-// endQuarantines makes quota available whose window has passed.
+// endQuarantines makes quarantined quota available once its window has passed.
 func (g *Grantor) endQuarantines() {
 	for len(g.quarantine) > 0 && g.quarantine[0].until <= g.now {
 		first := g.quarantine[0]
--- a/decide/lease/quota.go
+++ b/decide/lease/quota.go
@@ -2,10 +2,11 @@
 
 import "math"
 
-// units is a quota in integer fractions of a limit, so that sums are exact. Each value has an exact float64.
+// units is a quota as a number of fractions 1/fullLimit of a limit. Sums of integers are exact, and each value up to
+// fullLimit has an exact float64.
 type units int64
 
-// fullLimit is all of a limit.
+// fullLimit is the quota that equals the whole limit.
 const fullLimit units = 1 << 24
 
 // fraction returns the quota as a fraction of the limit, 0 to 1.
@@ -14,5 +15,7 @@
 // validQuota reports whether a fraction is between 0 and 1.
 func validQuota(fraction float64) bool { return fraction >= 0 && fraction <= 1 }
 
-// unitsOf returns the least number of units that a valid fraction fits in.
-func unitsOf(fraction float64) units { return units(math.Ceil(fraction * float64(fullLimit))) }
+// unitsFromFraction converts a valid fraction to units, rounded up.
+func unitsFromFraction(fraction float64) units {
+	return units(math.Ceil(fraction * float64(fullLimit)))
+}
--- a/decide/lease/receive.go
+++ b/decide/lease/receive.go
@@ -7,8 +7,8 @@
 	"wingmount/decide/placement"
 )
 
-// Receive accepts a request. What it confirms and releases counts at once; the lease is renewed by Answer. It returns
-// session 0 without an error for a process that closed its session. Errors wrap ErrMalformed, ErrSuperseded,
+// Receive accepts a request. The request's confirmations and releases take effect at once; Answer renews the lease. It
+// returns session 0 without an error for a process that closed its session. Errors wrap ErrMalformed, ErrSuperseded,
 // ErrReclaimRequired, ErrTooManySessions or ErrStaleRequest.
 func (g *Grantor) Receive(now time.Duration, request Request) (SessionID, error) {
 	g.advance(now)
@@ -39,8 +39,8 @@
 	return s.id, g.acceptReports(s, request)
 }
 
-// validate returns an error that wraps ErrMalformed if a request is out of bounds. The texts name fields by their JSON
-// names: claims are Reclaims, a share is a Quota.
+// validate returns an error that wraps ErrMalformed if a request is out of bounds. Error texts are sent to the node and
+// use the JSON names of fields: claims are Reclaims, a share is a Quota.
 func (r Request) validate() error {
 	if r.Node == "" || len(r.Node) > MaxNameLength {
 		return fmt.Errorf("%w: a node's name of %d bytes", ErrMalformed, len(r.Node))
@@ -64,8 +64,8 @@
 	return nil
 }
 
-// acceptReports accepts what a request of a session confirms, releases and reports as unfinished. Confirmations and
-// releases count even if the request is older than one that was received.
+// acceptReports processes the confirmations, releases and unfinished destinations of a session's request. Confirmations
+// and releases count even if a later request was received before.
 func (g *Grantor) acceptReports(s *session, request Request) error {
 	if request.Session == s.id {
 		if request.AppliedVersion > s.version {
@@ -85,7 +85,8 @@
 	return nil
 }
 
-// confirm lowers reservations to the quotas of an applied version: the holder uses nothing of an earlier version.
+// confirm lowers reservations to the quotas of an applied version, because the holder uses no quota of an earlier
+// version.
 func (g *Grantor) confirm(s *session, applied Version) {
 	if applied <= s.appliedVersion {
 		return
@@ -111,19 +112,20 @@
 	}
 }
 
-// releaseCounts reports whether a release ends a grant: only one that does not accept, and only under its latest epoch.
+// releaseCounts reports whether a release ends a grant: the grant must not be accepting, and the release must name its
+// latest epoch.
 func releaseCounts(granted *grant, release Release) bool {
 	return !granted.accepting && granted.epoch == release.Epoch
 }
 
-// release ends the reservations of grants that a holder has released.
+// release sets the quotas and reservations of released grants to 0.
 func (g *Grantor) release(s *session, releases []Release) {
 	for _, release := range releases {
 		a := g.allocations[release.Destination]
 		if a == nil {
 			continue
 		}
-		granted := a.grantOf(s)
+		granted := a.findGrant(s)
 		if granted == nil || granted.role == roleReleased {
 			continue
 		}
@@ -138,11 +140,11 @@
 	}
 }
 
-// addReported grants a session destinations that it has unfinished messages for, up to Config.MaxUnfinished.
+// addReported adds grants for the destinations of a session's unfinished messages, up to Config.MaxUnfinished.
 func (g *Grantor) addReported(s *session, unfinished []placement.DestinationID) {
 	for _, destination := range unfinished {
 		a := g.allocationFor(destination)
-		if a.grantOf(s) != nil || s.reportedGrants >= g.config.MaxUnfinished {
+		if a.findGrant(s) != nil || s.reportedGrants >= g.config.MaxUnfinished {
 			g.deleteAllocationIfUnused(a)
 			continue
 		}
--- a/decide/lease/refresh_test.go
+++ b/decide/lease/refresh_test.go
@@ -5,8 +5,9 @@
 	"wingmount/decide/placement"
 )
 
-// A refresh sends the assignment of a destination to its holders only, until they confirm it, and changes no quota.
-func TestRefreshSendsAssignmentAgain(t *testing.T) {
+// A refresh must reach every holder of the destination also if a reply is lost, so replies contain the assignment until
+// the holder confirms it. Other nodes receive nothing, and no quota changes.
+func TestRefreshSendsAssignmentUntilConfirmed(t *testing.T) {
 	m := newModel(2, 2, faults{})
 	m.grantor.SetOwners(m.now, 0, []placement.NodeID{"n0"})
 	m.grantor.SetOwners(m.now, 1, []placement.NodeID{"n0", "n1"})
@@ -14,19 +15,18 @@
 	before, _ := m.processes[0].holder.Assignment(0)
 
 	m.grantor.Refresh(0)
-	m.grantor.Refresh(7) // nobody has it
-	lost := m.processes[0].holder.Renew(m.processes[0].clock)
-	reply := m.reply(t, lost)
-	if len(reply.Assignments) != 1 || reply.Assignments[0] != before {
-		t.Fatalf("got %+v, want %+v", reply.Assignments, before)
+	m.grantor.Refresh(7) // no node is assigned destination 7
+	lost := m.reply(t, m.processes[0].holder.Renew(m.processes[0].clock))
+	if len(lost.Assignments) != 1 || lost.Assignments[0] != before {
+		t.Fatalf("after the refresh: got %+v, want only %+v", lost.Assignments, before)
 	}
-	again := m.reply(t, m.processes[0].holder.Renew(m.processes[0].clock)) // the first reply was lost
+	again := m.reply(t, m.processes[0].holder.Renew(m.processes[0].clock))
 	if len(again.Assignments) != 1 {
 		t.Fatalf("after a lost reply: got %+v, want one assignment", again.Assignments)
 	}
 	update, err := m.processes[0].holder.Receive(m.processes[0].clock, again)
 	if err != nil || len(update.Assignments) != 0 {
-		t.Fatalf("got changes %+v, %v, want none", update.Assignments, err)
+		t.Fatalf("changes by the refresh: got %+v, %v, want none", update.Assignments, err)
 	}
 	if third := m.reply(t, m.processes[0].holder.Renew(m.processes[0].clock)); len(third.Assignments) != 0 {
 		t.Fatalf("after the confirmation: got %+v, want no assignment", third.Assignments)
--- a/decide/lease/scale_test.go
+++ b/decide/lease/scale_test.go
@@ -7,13 +7,13 @@
 	"wingmount/decide/placement"
 )
 
-// simulatedNodes is a grantor and the holders of all nodes, without a network.
+// simulatedNodes contains a grantor and the holders of all nodes, connected without a network.
 type simulatedNodes struct {
 	tb              testing.TB
 	now             time.Duration
 	grantor         *Grantor
 	holders         []*Holder
-	sentAssignments int // assignments in replies
+	sentAssignments int // number of assignments in all replies
 }
 
 func newSimulatedNodes(tb testing.TB, nodes, destinations int) *simulatedNodes {
@@ -30,12 +30,12 @@
 
 func nodeName(i int) placement.NodeID { return placement.NodeID(fmt.Sprintf("n%d", i)) }
 
-// round has all nodes but some renew once.
-func (f *simulatedNodes) round(but map[int]bool) {
+// renewAll has all nodes renew once, except for the excluded ones.
+func (f *simulatedNodes) renewAll(excluded map[int]bool) {
 	f.now += time.Second
 	f.grantor.Advance(f.now)
 	for i, holder := range f.holders {
-		if but[i] {
+		if excluded[i] {
 			continue
 		}
 		request := holder.Renew(f.now)
@@ -54,47 +54,50 @@
 	}
 }
 
-func (f *simulatedNodes) rounds(count int, but map[int]bool) int {
+// renewRepeatedly calls renewAll count times. It returns the number of assignments in the replies.
+func (f *simulatedNodes) renewRepeatedly(count int, excluded map[int]bool) int {
 	before := f.sentAssignments
 	for range count {
-		f.round(but)
+		f.renewAll(excluded)
 	}
 	return f.sentAssignments - before
 }
 
-func TestCostFollowsWhatChanged(t *testing.T) {
+// The number of sent assignments must follow the number of changes, not that of all destinations. Otherwise each renewal
+// and each failed node costs the control process work in proportion to the whole cluster.
+func TestRenewalsSendOnlyChangedAssignments(t *testing.T) {
 	const nodes, destinations = 100, 5000
 	f := newSimulatedNodes(t, nodes, destinations)
-	start := f.rounds(8, nil)
+	start := f.renewRepeatedly(8, nil)
 	if most := 4 * 2 * destinations; start > most {
 		t.Errorf("at the start: got %d assignments in replies, want %d at most", start, most)
 	}
-	if calm := f.rounds(5, nil); calm != 0 {
-		t.Errorf("without changes: got %d assignments in replies, want 0", calm)
+	if unchanged := f.renewRepeatedly(5, nil); unchanged != 0 {
+		t.Errorf("without changes: got %d assignments in replies, want 0", unchanged)
 	}
-	// One node dies: its destinations get another owner, and nobody else gets an assignment.
-	dead := map[int]bool{7: true}
-	ended := f.rounds(int(DefaultDuration/time.Second)+10, dead)
+	// One node fails: its quotas go to the other owners, and no other node gets an assignment.
+	failed := map[int]bool{7: true}
+	ended := f.renewRepeatedly(int(DefaultDuration/time.Second)+10, failed)
 	if f.grantor.HasSession(nodeName(7)) {
-		t.Fatal("the dead node: got a session, want none")
+		t.Fatal("the failed node: got a session, want none")
 	}
-	part := 2 * destinations / nodes
-	if most := 2 * part; ended > most {
-		t.Errorf("after the death of a node with %d destinations: got %d assignments in replies, want %d at most", part, ended, most)
+	owned := 2 * destinations / nodes
+	if most := 2 * owned; ended > most {
+		t.Errorf("after the failure of a node with %d destinations: got %d assignments in replies, want %d at most", owned, ended, most)
 	}
 }
 
-func BenchmarkStartOfFleet(b *testing.B) {
+func BenchmarkFirstRenewals(b *testing.B) {
 	for b.Loop() {
 		f := newSimulatedNodes(b, 1500, 170_000)
-		f.rounds(8, nil)
+		f.renewRepeatedly(8, nil)
 	}
 }
 
-func BenchmarkRenewalsOfFleet(b *testing.B) {
+func BenchmarkUnchangedRenewals(b *testing.B) {
 	f := newSimulatedNodes(b, 1500, 170_000)
-	f.rounds(8, nil)
+	f.renewRepeatedly(8, nil)
 	for b.Loop() {
-		f.round(nil)
+		f.renewAll(nil)
 	}
 }
--- a/decide/lease/session.go
+++ b/decide/lease/session.go
@@ -9,25 +9,25 @@
 	"wingmount/internal/container"
 )
 
-// session is the grantor's side of a lease.
+// session is the grantor's state of one process's lease.
 type session struct {
 	id             SessionID
 	process        ProcessID
 	node           *node
 	sequence       uint64  // of the latest request
 	version        Version // of the latest change, from 1 on
-	appliedVersion Version // that the holder has confirmed
+	appliedVersion Version // the latest one that the holder has confirmed
 	expiry         time.Duration
 	expiryItem     container.Item[*session]
 	markedUpdated  bool // in Grantor.updated
-	reportedGrants int  // grants made for unfinished messages
+	reportedGrants int  // number of grants with reported set
 	grantList
 }
 
-// isActive reports whether the session has the node's assignments.
+// isActive reports whether the session receives the node's assignments.
 func (s *session) isActive() bool { return s.node.active() == s }
 
-// addGrant adds a grant under the next version.
+// addGrant adds a grant with the next version.
 func (s *session) addGrant(g *grant) {
 	if g.reported {
 		s.reportedGrants++
@@ -37,7 +37,6 @@
 	s.append(g, s.version)
 }
 
-// removeGrant removes a grant.
 func (s *session) removeGrant(g *grant) {
 	if g.reported {
 		s.reportedGrants--
@@ -46,29 +45,29 @@
 	s.unlink(g)
 }
 
-// newVersion gives a grant the next version.
+// newVersion gives a grant the next version, so that the next reply contains it.
 func (s *session) newVersion(g *grant) {
 	s.unlink(g)
 	s.version++
 	s.append(g, s.version)
 }
 
-// needsCompleteReply reports whether a request has to be answered with all assignments: it opens the session, asks for
-// all, or names a version before the one that was confirmed.
+// needsCompleteReply reports whether the reply to a request has to contain all assignments: the request opens the
+// session, requests all assignments, or names a version before the confirmed one.
 func (s *session) needsCompleteReply(request Request) bool {
 	return request.Session != s.id || request.AppliedVersion == 0 || request.AppliedVersion < s.appliedVersion
 }
 
-// node is what a grantor knows of a node.
+// node is a grantor's state of a node.
 type node struct {
 	id placement.NodeID
-	// sessions are those that have not ended. The first one is active: it has the node's assignments. Another process
-	// of the node waits until that one has ended.
+	// sessions contains the sessions that have not ended. The first one is active: it receives the node's assignments.
+	// The other processes of the node wait until it has ended.
 	sessions []*session
 	owned    map[placement.DestinationID]*allocation
 }
 
-// active returns the session that has the node's assignments, nil if there is none.
+// active returns the session that receives the node's assignments, or nil if there is none.
 func (n *node) active() *session {
 	if len(n.sessions) == 0 {
 		return nil
@@ -76,7 +75,7 @@
 	return n.sessions[0]
 }
 
-// findSession returns the session of a process, nil if there is none.
+// findSession returns the session of a process, or nil if there is none.
 func (g *Grantor) findSession(id placement.NodeID, process ProcessID) *session {
 	n := g.nodes[id]
 	if n == nil {
@@ -90,8 +89,8 @@
 	return nil
 }
 
-// openSession opens a session. During the grace period a process that may have a lease of an earlier incarnation has to
-// reclaim its assignments.
+// openSession opens a session. During the grace period it returns ErrReclaimRequired to a process that may have a lease
+// of an earlier incarnation and does not reclaim its assignments.
 func (g *Grantor) openSession(request Request) (*session, error) {
 	reclaims := !g.graceOver && request.Session != 0 && request.Session.Incarnation() < g.incarnation
 	if reclaims && !request.Reclaiming {
@@ -119,15 +118,15 @@
 	return s, nil
 }
 
-// reclaim takes the assignments that a session has of earlier incarnations as granted.
+// reclaim adds grants for the assignments that a session received from earlier incarnations.
 func (g *Grantor) reclaim(s *session, assignments []Assignment) {
 	for _, assignment := range assignments {
 		a := g.allocationFor(assignment.Destination)
-		if assignment.Removed || assignment.Epoch.Incarnation() >= g.incarnation || a.grantOf(s) != nil {
+		if assignment.Removed || assignment.Epoch.Incarnation() >= g.incarnation || a.findGrant(s) != nil {
 			g.deleteAllocationIfUnused(a)
 			continue
 		}
-		quota := unitsOf(assignment.Quota)
+		quota := unitsFromFraction(assignment.Quota)
 		reclaimed := &grant{
 			allocation: a, session: s, accepting: assignment.Accepting,
 			epoch: assignment.Epoch, quota: quota, reserved: quota,
@@ -141,7 +140,7 @@
 	}
 }
 
-// activateSession gives a session the node's assignments.
+// activateSession makes a session the owner of the node's destinations.
 func (g *Grantor) activateSession(s *session) {
 	for _, destination := range slices.Sorted(maps.Keys(s.node.owned)) {
 		a := s.node.owned[destination]
@@ -150,13 +149,14 @@
 	}
 }
 
-// extendSession renews a session's lease from now on.
+// extendSession renews a session's lease as of now.
 func (g *Grantor) extendSession(s *session) {
-	s.expiry = g.now + g.faults.shortenWait(g.sessionTimeout)
+	s.expiry = g.now + g.faults.adjustExpiryWait(g.sessionTimeout)
 	g.expiries.Set(&s.expiryItem, int64(s.expiry))
 }
 
-// endSession ends a session, which may be nil, and releases what it had. The node's next process gets its assignments.
+// endSession ends a session and releases its grants. The node's next session receives its assignments. It does nothing
+// if s is nil.
 func (g *Grantor) endSession(s *session) {
 	if s == nil {
 		return
--- a/decide/lease/status.go
+++ b/decide/lease/status.go
@@ -5,17 +5,17 @@
 	"wingmount/decide/placement"
 )
 
-// GrantStatus is what a grantor reserves for one holder of a destination.
+// GrantStatus is the state of one holder's grant of a destination.
 type GrantStatus struct {
 	Node       placement.NodeID
 	Session    SessionID
-	Assignment Assignment // as sent to the holder last
-	Reserved   float64    // the most of the limit that it may use, 0 to 1
-	Confirmed  bool       // it has applied the assignment
+	Assignment Assignment // as last sent to the holder
+	Reserved   float64    // the largest fraction of the limit that the holder may use, 0 to 1
+	Confirmed  bool       // the holder has applied the assignment
 	Expiry     time.Duration
 }
 
-// Grants returns the holders of a destination.
+// Grants returns the state of each grant of a destination.
 func (g *Grantor) Grants(destination placement.DestinationID) []GrantStatus {
 	a := g.allocations[destination]
 	if a == nil {
@@ -35,7 +35,7 @@
 	return grants
 }
 
-// AcceptingNodes returns the nodes that accept for each destination, as sent to them last.
+// AcceptingNodes returns, by destination, the nodes whose last sent assignments accept messages.
 func (g *Grantor) AcceptingNodes() map[placement.DestinationID][]placement.NodeID {
 	accepting := make(map[placement.DestinationID][]placement.NodeID, len(g.allocations))
 	for destination, a := range g.allocations {
@@ -53,14 +53,14 @@
 	Node            placement.NodeID
 	Session         SessionID
 	Process         ProcessID
-	Active          bool // it has the node's assignments
+	Active          bool // it receives the node's assignments
 	AssignmentCount int
 	Version         Version
 	AppliedVersion  Version
 	Expiry          time.Duration
 }
 
-// Sessions calls yield with the state of each session, in no order, until it returns false.
+// Sessions calls yield with the state of each session, in unspecified order, until yield returns false.
 func (g *Grantor) Sessions(yield func(SessionStatus) bool) {
 	for _, s := range g.sessions {
 		status := SessionStatus{
