--- a/decide/ratelimit/quota.go
+++ b/decide/ratelimit/quota.go
@@ -1,26 +1,29 @@
-// Package ratelimit decides how many calls a second one sender may make under a rate limit: its quota of a
-// limit that many senders share without knowing it, or of a share that is assigned to it exclusively.
+// Package ratelimit decides how many calls per second one sender may make under a rate limit. The sender's
+// quota is either shared, for a limit whose actual value the senders do not know, or exclusive, for a share of
+// the limit that is assigned to the sender.
 //
-// It does no I/O, starts no goroutine and reads no clock: callers pass the time, which must not go back. A
-// [Quota] is not safe for concurrent use. Start reading at [Quota], then [Quota.RecordRejection].
+// The package does no I/O, starts no goroutine and reads no clock: callers pass the time, which must not go
+// back. A [Quota] is not safe for concurrent use. Start reading at [Quota], then [Quota.RecordRejection].
 //
 // # Shared quotas
 //
-// With eighty senders each makes a call every few seconds. What one learns from its own rejections comes too
-// late: cuts and growth by those balance only where a quarter of all calls is rejected. So senders report
-// each rejection to each other, and each makes a small cut at every one of them: all levels move as one.
+// With eighty senders each sender makes a call only every few seconds. Its own rejections inform it too late:
+// with cuts by those alone, cuts and growth balance only when a quarter of all calls is rejected. So senders
+// report each rejection to each other, and every sender makes a small cut for each of them. The levels of all
+// senders then change together.
 //
-// With R calls a second by all senders and a fraction f of them rejected, the level falls by
-// rejectionWeight*f a second (each rejection by rejectionWeight/R) and rises by the growth. It settles where
-// f is the growth divided by rejectionWeight, whatever the number of senders and the limit: 3 to 6%, and up
-// to twice that under a limit of a few calls a second, where rejections are rare. The level falls by a factor
-// of e^rejectionWeight a second, and once by e^maxCutBurst more, at most. So neither simultaneous rejections
-// nor a faulty sender's reports stop all calls, and the level recovers within seconds once they cease.
+// Let all senders together make R calls per second, and a fraction f of the calls be rejected. The logarithm
+// of the level falls by rejectionWeight*f per second (by rejectionWeight/R per rejection) and rises by the
+// growth. The level settles where f equals the growth divided by rejectionWeight, for any number of senders and
+// any limit: 3 to 6%, and up to twice that under a limit of a few calls per second, where rejections are rare.
+// The level falls at most by a factor of e^rejectionWeight per second, and once by another factor of
+// e^maxCutBurst. So neither simultaneous rejections nor a faulty sender's reports stop all calls, and the level
+// recovers within seconds after they end.
 //
 // # Exclusive quotas
 //
-// The share in an exclusive quota ([Quota.Assign]) is known: its level starts at 1 and never exceeds it.
-// Rejections below the share cut the level in the same way, by rejections of the sender's own calls.
+// The share of an exclusive quota ([Quota.Assign]) is known, so its level starts at 1 and never exceeds 1.
+// Rejections of the sender's own calls below the share cut the level in the same way.
 package ratelimit
 
 import (
@@ -29,65 +32,69 @@
 )
 
 const (
-	// rejectionWeight is the logarithm of the factor by which the level falls in a second in which all calls
-	// are rejected.
+	// rejectionWeight is the logarithm of the factor by which the level falls per second while all calls are
+	// rejected.
 	rejectionWeight = 1.0
-	// maxCutBurst is the largest cut at one moment, as a logarithm: calls that were outstanding together
-	// are rejected together.
+	// maxCutBurst is the largest cut at one time, as a logarithm. It bounds the cut because calls that were
+	// outstanding together are rejected together.
 	maxCutBurst = 0.5
 
-	// Growth a second begins at minGrowth after a rejection and rises with the square of the time without
-	// one, by minGrowth after growthRampTime, up to maxGrowth: slow near the limit, fast after a limit was
-	// lifted.
+	// The growth per second is minGrowth right after a rejection. It increases with the square of the time
+	// since the rejection, by minGrowth after growthRampTime, up to maxGrowth. So the level grows slowly near
+	// the limit, and fast after the limit was removed.
 	minGrowth, maxGrowth = 0.02, 0.3
 	growthRampTime       = 500 * time.Millisecond
-	// growthWindow is how long a level grows after a message had to wait for the quota. Nothing is
-	// known about a level that is not used up: it might have to fall first.
+	// growthWindow is how long a level grows after a message had to wait for the quota. While the level is not
+	// fully used, the absence of rejections does not show that the limit allows more: the level might even be
+	// too high.
 	growthWindow = 4 * time.Second
 
-	// minLevel bounds the level from below: a limit may be a small part of the advertised rate for a time.
+	// minLevel is the lowest level: a limit may temporarily be a small fraction of the advertised rate.
 	minLevel = 0.1
-	// maxAdvertisedRateFactor bounds a sender's rate, as a multiple of the advertised rate of all senders:
-	// the true rate may be twice the advertised one, and one sender may have most of the traffic.
+	// maxAdvertisedRateFactor bounds one sender's rate, as a multiple of the advertised rate of all senders
+	// together: the actual limit may be twice the advertised one, and one sender may have most of the traffic.
 	maxAdvertisedRateFactor = 2.0
 
-	// recentDecayTime is the time in which the recent level follows a fallen shared level to 1/e.
+	// recentDecayTime is the time in which the recent level of a shared quota decays to 1/e after the level
+	// has fallen.
 	recentDecayTime = 6 * time.Second
-	// recentExclusiveTime is the time in which the recent level falls evenly to an exclusive level. It is the
-	// wide window's length, so that a reduced share delays no call beyond what the narrow window does.
+	// recentExclusiveTime is the time in which the recent level of an exclusive quota falls linearly to the
+	// level. It is the length of the wide window, so that a reduced share delays calls no longer than the
+	// narrow window does.
 	recentExclusiveTime = 12 * time.Second
 
-	// defaultShareRate stands for the share of a quota that was suspended before any share was known, in
-	// calls a second.
+	// defaultShareRate is the share, in calls per second, of a quota that is suspended before any share was
+	// assigned.
 	defaultShareRate = 1.0
-	// minSuspension is the shortest time that a suspended quota is expected to stay so.
+	// minSuspension is the shortest time that a quota is expected to stay suspended.
 	minSuspension = 2 * time.Second
-	// roundingTolerance is how far above an integer a count of calls is rounded down to it.
+	// roundingTolerance is the largest excess of a number of calls over an integer at which the number is
+	// rounded down.
 	roundingTolerance = 1e-9
 )
 
-// Quota is one sender's quota of a rate limit. Senders that see the same rejections have the same level.
-// Methods that mention it accept a nil Quota, which limits nothing.
+// Quota is one sender's quota of a rate limit. Senders that record the same rejections have the same level. A
+// nil Quota limits nothing; only methods whose comments mention a nil Quota accept it.
 type Quota struct {
-	fairRate float64 // calls a second of one sender at level 1
-	senders  float64 // how many senders share the limit
+	fairRate float64 // calls per second of one sender at level 1
+	senders  float64 // number of senders that share the limit
 	maxLevel float64
 
 	exclusive   bool          // the share is assigned to this sender exclusively
-	suspended   bool          // exclusive: no call is allowed for now
+	suspended   bool          // no call is allowed; exclusive quotas only
 	suspendedAt time.Duration // when it was suspended
 
-	level       float64       // multiple of fairRate that is allowed now
-	recentLevel float64       // at least level; follows it with delay when it falls
-	recentDecay float64       // exclusive: how much recentLevel falls a second
-	cutBudget   float64       // the largest cut allowed now, as a logarithm
+	level       float64       // allowed multiple of fairRate
+	recentLevel float64       // at least level; decays to it when level falls
+	recentDecay float64       // decrease of recentLevel per second; exclusive quotas only
+	cutBudget   float64       // largest allowed cut, as a logarithm
 	updatedAt   time.Duration // the time of the fields above
 
 	lastRejection time.Duration
 	lastDemand    time.Duration // when a message last had to wait for this quota
 }
 
-// NewShared returns a quota of a advertised rate, in calls a second, that a number of senders share.
+// NewShared returns one sender's quota of an advertised rate, in calls per second, that all senders share.
 func NewShared(now time.Duration, advertisedRate float64, senders int) *Quota {
 	n := float64(max(1, senders))
 	return &Quota{
@@ -97,9 +104,9 @@
 	}
 }
 
-// Assign returns the quota of a sender to which a share of the limit is assigned from now on, in calls a
-// second. A negative share suspends the quota; 0 withdraws the assignment and returns nil. q may be
-// nil or shared, and is changed in place if it is exclusive already.
+// Assign assigns a share of the limit, in calls per second, to the sender and returns its exclusive quota. A
+// negative share suspends the quota; 0 withdraws the assignment and returns nil. Assign changes q in place and
+// returns it if q is exclusive already. It accepts a nil or shared Quota and returns a new one for it.
 func (q *Quota) Assign(now time.Duration, share float64) *Quota {
 	if share == 0 {
 		return nil
@@ -118,18 +125,18 @@
 		}
 		return q
 	}
-	// Calls that the previous share allowed stay allowed in the wide window.
+	// The wide window still allows the calls that the previous share allowed.
 	q.recentLevel = max(q.level, q.recentLevel*q.fairRate/share)
 	q.fairRate, q.suspended = share, false
 	q.recentDecay = (q.recentLevel - q.level) / recentExclusiveTime.Seconds()
 	return q
 }
 
-// Exclusive reports whether the share is assigned to this sender exclusively. A nil Quota is not.
+// Exclusive reports whether the sender has an assigned share. It returns false for a nil Quota.
 func (q *Quota) Exclusive() bool { return q != nil && q.exclusive }
 
-// SuspendedFor returns how long the quota has been suspended, at least minSuspension, and 0 if it is not
-// or is nil.
+// SuspendedFor returns how long the quota has been suspended, at least minSuspension. It returns 0 if the quota
+// is not suspended, and for a nil Quota.
 func (q *Quota) SuspendedFor(now time.Duration) time.Duration {
 	if q == nil || !q.suspended {
 		return 0
@@ -137,8 +144,8 @@
 	return max(minSuspension, now-q.suspendedAt)
 }
 
-// Cap returns a rate in calls a second, reduced to the share if the quota is exclusive. A nil Quota reduces
-// nothing.
+// Cap returns a rate in calls per second, reduced to the share if the quota is exclusive. A nil Quota does not
+// reduce it.
 func (q *Quota) Cap(rate float64) float64 {
 	if q.Exclusive() {
 		return min(rate, q.fairRate)
@@ -146,9 +153,9 @@
 	return rate
 }
 
-// WindowCapacity returns how many calls a window may contain whose allotment is a number of calls, at least
-// one. For an exclusive quota it is an integer, so that the scaled window ([Quota.WindowScale]) loses nothing
-// of the share. A nil Quota keeps allotments above one.
+// WindowCapacity returns how many calls a window with an allotment, in calls, may contain: at least one. For
+// an exclusive quota it is an integer, so that the scaled window ([Quota.WindowScale]) allows the whole share.
+// With a nil Quota it is the allotment, or one if that is less.
 func (q *Quota) WindowCapacity(allotment float64) float64 {
 	if q.Exclusive() {
 		allotment = math.Ceil(allotment - roundingTolerance)
@@ -156,9 +163,9 @@
 	return max(1, allotment)
 }
 
-// WindowScale returns by what factor windows are longer than usual for an allotment of calls. Windows under a
-// shared quota vary by a random factor of about 1, jitter, so that senders that were rejected together
-// do not return together.
+// WindowScale returns the factor by which a window with an allotment, in calls, is longer than usual. Under a
+// shared or nil Quota the factor includes jitter, a random factor of about 1, so that senders that were
+// rejected at the same time do not all call again at the same time.
 func (q *Quota) WindowScale(allotment, jitter float64) float64 {
 	if q.Exclusive() {
 		return q.WindowCapacity(allotment) / allotment
@@ -166,13 +173,15 @@
 	return jitter / min(1, allotment)
 }
 
-// Rate returns how many calls a second this sender may make now, and how many it was recently allowed.
+// Rate returns the rate that this sender may use now, and the rate that it was recently allowed, both in calls
+// per second.
 func (q *Quota) Rate(now time.Duration) (rate, recent float64) {
 	q.advance(now)
 	return q.fairRate * q.level, q.fairRate * q.recentLevel
 }
 
-// RecordDemand notes that a message waits for this quota, which lets the level grow. A nil Quota ignores it.
+// RecordDemand records that a message waits for this quota, so that the level may grow. It does nothing for a
+// nil Quota.
 func (q *Quota) RecordDemand(now time.Duration) {
 	if q != nil {
 		q.advance(now)
@@ -180,16 +189,17 @@
 	}
 }
 
-// RecordRejection cuts the level after a call was rejected for the limit, whether of this sender or of a peer
-// that reported it. unreported means that no other sender learns of the rejection: it then counts once for
-// each sender, since others have as many that this one does not learn of.
+// RecordRejection cuts the level after a call of this sender, or of a peer that reported it, was rejected for
+// exceeding the limit. unreported means that the rejection is not reported to other senders. It then counts
+// once per sender, because the other senders have as many rejections that are not reported to this one.
 func (q *Quota) RecordRejection(now time.Duration, unreported bool) {
 	q.advance(now)
 	count := 1.0
 	if unreported {
 		count = q.senders
 	}
-	// A level over 1 belongs to the few with much traffic: the total of all senders is not larger for it.
+	// Only the few senders with much traffic reach a level over 1, which does not increase the total rate of
+	// all senders. So the total counts at a level of 1 at most.
 	cut := min(q.cutBudget, rejectionWeight*count/max(1, q.fairRate*q.senders*min(q.level, 1)))
 	q.cutBudget -= cut
 	q.level = max(minLevel, q.level*math.Exp(-cut))
@@ -197,8 +207,8 @@
 	q.recentDecay = max(q.recentDecay, (q.recentLevel-q.level)/recentExclusiveTime.Seconds())
 }
 
-// UndoRecentCuts raises the level to the recent level, once rejections prove to come from an outage, which
-// shows nothing about the limit. A nil Quota has no cuts.
+// UndoRecentCuts raises the level to the recent level. The caller uses it when rejections turn out to be caused
+// by an outage, which says nothing about the limit. It does nothing for a nil Quota.
 func (q *Quota) UndoRecentCuts(now time.Duration) {
 	if q != nil {
 		q.advance(now)
@@ -206,14 +216,15 @@
 	}
 }
 
-// AtMinimum reports whether the level cannot be cut further: a destination that still rejects calls is not
-// just busy.
+// AtMinimum reports whether the level cannot be cut further. If a destination still rejects calls then, load is
+// not the only cause.
 func (q *Quota) AtMinimum(now time.Duration) bool {
 	q.advance(now)
 	return q.level <= minLevel
 }
 
-// advance moves the quota to a time: the level grows, the recent level follows, the cut budget refills.
+// advance updates the quota to a time: it applies the growth of the level, the decay of the recent level, and the
+// refill of the cut budget.
 func (q *Quota) advance(now time.Duration) {
 	if now <= q.updatedAt {
 		return
@@ -221,8 +232,8 @@
 	elapsed := (now - q.updatedAt).Seconds()
 	q.cutBudget = min(maxCutBurst, q.cutBudget+rejectionWeight*elapsed)
 	if until := min(now, q.lastDemand+growthWindow); until > q.updatedAt {
-		quiet := float64(until-q.lastRejection) / float64(growthRampTime)
-		growth := min(maxGrowth, minGrowth*(1+quiet*quiet))
+		ramp := float64(until-q.lastRejection) / float64(growthRampTime)
+		growth := min(maxGrowth, minGrowth*(1+ramp*ramp))
 		q.level = min(q.maxLevel, q.level*math.Exp(growth*(until-q.updatedAt).Seconds()))
 	}
 	if q.exclusive {
