--- a/policy/circuit.go
+++ b/policy/circuit.go
@@ -261,7 +261,7 @@
 		s.closeCircuit(e, event)
 		openedByRejections := e.circuit.consecutiveRejections >= rejectionsToOpenCircuit
 		if l.quota == nil && l.allotmentBeforeRejections > l.allotment && openedByRejections {
-			s.setAllotment(l, l.allotmentBeforeRejections) // the outage caused those rejections, not the limit
+			s.setAllotment(l, l.allotmentBeforeRejections) // those rejections were caused by the outage
 		}
 	}
 	e.circuit.recordSuccess(s.now)
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -97,7 +97,7 @@
 	}
 }
 
-func TestAllotmentFromAdvertisedRate(t *testing.T) {
+func TestAllotmentStartsFromAdvertisedRate(t *testing.T) {
 	set := testSettings()
 	set.RateAccuracy, set.Senders = RateExact, 4
 	if got := newHarness(t, set, testDestination{endpoints: 1, rate: 12}).path().limiter.allotment; got != 6 {
--- a/policy/ratelimit.go
+++ b/policy/ratelimit.go
@@ -225,7 +225,8 @@
 }
 
 // recordRateLimit applies a rejection by a rate limit to the path of an endpoint: it cuts the allotment and
-// pauses the path, for retryAfter plus jitter if that is above 0.
+// pauses the path. The pause is retryAfter, or rejectionPause doubled for rejections in a row if that is 0,
+// plus jitter.
 func (s *Sender) recordRateLimit(e *endpoint, sent Time, retryAfter time.Duration) {
 	l := &e.path.limiter
 	switch {
