--- a/decide/placement/builder.go
+++ b/decide/placement/builder.go
@@ -5,8 +5,8 @@
 // builder computes one table.
 //
 // A destination is large if its slot load exceeds largeFraction of the mean fair load of a node, and hot if its slot
-// load exceeds that mean. Large destinations are placed first. The fair loads of the other destinations are then
-// computed around them, so that each remaining slot load is small compared with the bounds.
+// load exceeds that mean. Large destinations are placed first. The fair loads of the other destinations are
+// computed after that, so that each remaining slot load is small compared with the bounds.
 type builder struct {
 	*Table
 	*topology
@@ -24,8 +24,8 @@
 	// upperBound, around fair.
 	regular                      []load
 	fair, lowerBound, upperBound []load
-	// preferUnderloaded makes pickWithCapacity try nodes below their lower bound first. It is off without a previous
-	// table, which keeps such a table closer to the plain ranking.
+	// preferUnderloaded makes pickWithCapacity try nodes below their lower bound first. It is false without a previous
+	// table, so that the owners follow the ranking more closely.
 	preferUnderloaded bool
 
 	zoneOrder      []rankedZone
--- a/decide/placement/compute.go
+++ b/decide/placement/compute.go
@@ -15,8 +15,8 @@
 	return b.Table
 }
 
-// computeLoadBounds computes the fair loads around the placed large destinations, the bounds around the fair loads,
-// and the regular loads of the retained owners.
+// computeLoadBounds computes the fair regular load of each node, given the placed large destinations, and its lower
+// and upper bound. It also sums the regular loads of the retained owners.
 func (b *builder) computeLoadBounds() {
 	fair := b.computeFairLoads(b.largeSum)
 	count := len(fair)
--- a/decide/placement/explain.go
+++ b/decide/placement/explain.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// Reason states why a candidate owns a destination or was passed over.
+// Reason states why a candidate owns a destination or does not.
 type Reason string
 
 // The reasons of an Explanation.
@@ -30,8 +30,8 @@
 	Region string
 	Zone   string
 	Reason Reason
-	// Load is the load of the node, Fair its fair load and Limit the load up to which it accepts more, in messages a
-	// second.
+	// Load is the load of the node, Fair its fair load and Limit the maximum load with which it can become an owner, in
+	// messages a second.
 	Load, Fair, Limit float64
 }
 
@@ -41,7 +41,7 @@
 	// Known is false if the table does not contain the destination; only Destination is set then.
 	Known  bool
 	Rate   float64 // messages a second
-	Wanted int
+	Wanted int     // requested number of owners
 	Region string
 	Owners []NodeID
 	// Hot reports whether the slot load exceeds the mean fair load of a node.
--- a/decide/placement/fleet_test.go
+++ b/decide/placement/fleet_test.go
@@ -353,7 +353,7 @@
 }
 
 // The test logs the load that would move if a control process lost its table and received no owner sets from the
-// nodes: the difference between a table with a history and one computed from the same input alone.
+// nodes: the difference between a table with a history and one computed from the same input without a previous table.
 func TestTableWithHistoryLogsDifferenceFromNewTable(t *testing.T) {
 	f := startFleet(t, testFleetSize())
 	for i := range 10 {
--- a/decide/placement/model_test.go
+++ b/decide/placement/model_test.go
@@ -193,8 +193,8 @@
 // modelCounts are the results that the model tests report.
 type modelCounts struct {
 	changes, nodeChanges int
-	// overloaded and underloaded count nodes beyond their bounds that no single move helps. choiceOverloaded and
-	// choiceUnderloaded count those in clusters where the zone rules leave a choice.
+	// overloaded and underloaded count nodes outside their bounds whose load no single move can improve.
+	// choiceOverloaded and choiceUnderloaded count the same in clusters where the zone rules leave a choice.
 	overloaded, underloaded, choiceOverloaded, choiceUnderloaded int
 	// maxExcessMoved is the largest load moved beyond the load of the changed node, in multiples of the largest slot
 	// load.
@@ -406,7 +406,7 @@
 	return ""
 }
 
-// balanceViolation checks the load bounds. A node beyond them is a violation only if a single move helps; otherwise
+// balanceViolation checks the load bounds. A node outside them is a violation only if a single move helps; otherwise
 // it is counted.
 func (o *oracle) balanceViolation(counts *modelCounts) string {
 	for _, id := range slices.Sorted(maps.Keys(o.nodes)) {
@@ -546,8 +546,8 @@
 // the load of the node: in a small cluster one slot is a considerable part of the load of a node.
 const extraMovementSlots = 4
 
-// The oracle tolerates a node beyond its bounds if no single move helps. These are the minimum numbers of random
-// changes for each such node.
+// The oracle tolerates a node outside its bounds if no single move helps. The test allows at most one such node in
+// this number of random changes.
 const (
 	changesPerOverloaded  = 1000
 	changesPerUnderloaded = 200
--- a/decide/placement/pick.go
+++ b/decide/placement/pick.go
@@ -6,13 +6,13 @@
 )
 
 // capacityRule is the capacity condition that a node must meet to be picked for a slot. capacityForLarge considers
-// the load of large destinations only and is used alone. The other rules consider the regular load and are declared
-// from strictest to loosest.
+// the load of large destinations only and is never combined with the others. The other rules consider the regular load
+// and are declared from strictest to loosest.
 type capacityRule uint8
 
 const (
-	// capacityForLarge accepts a node without a large slot, or one whose large slots stay within largeBound with this
-	// one.
+	// capacityForLarge accepts a node without a large slot, and a node whose large load including the slot is at most
+	// its largeBound.
 	capacityForLarge capacityRule = iota
 	// capacityUnderloaded accepts a node below its lower bound that stays within its upper bound with the slot.
 	capacityUnderloaded
--- a/decide/placement/placement_test.go
+++ b/decide/placement/placement_test.go
@@ -116,7 +116,7 @@
 
 // A node that owns a slot of a hot destination must own at most one other destination. Its load must return to the
 // bounds when the destination is no longer hot.
-func TestHotDestinationOwnersGetAlmostNothingElse(t *testing.T) {
+func TestHotDestinationOwnersOwnAtMostOneOther(t *testing.T) {
 	input := Input{Nodes: fourNodes()}
 	for id := range DestinationID(200) {
 		input.Destinations = append(input.Destinations, Destination{ID: id, Rate: 1, Owners: 1})
@@ -249,7 +249,7 @@
 	}
 }
 
-func TestExplainGivesFittingReasonForEveryNode(t *testing.T) {
+func TestExplainGivesValidReasonForEveryNode(t *testing.T) {
 	input := Input{Nodes: append(fourNodes(),
 		Node{ID: "e", Region: "s", Zone: "1", Weight: 1},
 		Node{ID: "f", Region: "r", Zone: "2", Weight: 1, Draining: true},
@@ -284,7 +284,7 @@
 	}
 }
 
-// checkExplanation checks that every node is listed once and that its reason is valid.
+// checkExplanation checks that there is one candidate for each node and that its reason is valid.
 func checkExplanation(table *Table, explanation Explanation) error {
 	if len(explanation.Candidates) != len(table.Nodes()) {
 		return fmt.Errorf("got %d candidates, want one for each node", len(explanation.Candidates))
--- a/decide/placement/table.go
+++ b/decide/placement/table.go
@@ -33,8 +33,8 @@
 	loads, fairLoads, limits []load
 }
 
-// UnplacedError describes a destination that has no owner because there is no eligible node. [Table.Unplaced] lists
-// such destinations; no function returns one as its error.
+// UnplacedError describes a destination that has no owner because there is no eligible node. It is an element of the
+// result of [Table.Unplaced]; no function returns it as an error.
 type UnplacedError struct {
 	Destination DestinationID
 	Region      string
--- a/decide/placement/topology.go
+++ b/decide/placement/topology.go
@@ -60,8 +60,8 @@
 	return t
 }
 
-// eligibleZones returns the zones that have eligible nodes, sorted by region and name. Their nodes are not filled in
-// yet.
+// eligibleZones returns the zones that have eligible nodes, sorted by region and name. Their lists of nodes are
+// empty.
 func eligibleZones(nodes []Node) []zone {
 	var zones []zone
 	for _, node := range nodes {
