--- a/decide/admission/admission_test.go
+++ b/decide/admission/admission_test.go
@@ -156,8 +156,8 @@
 	}
 }
 
-// If n destinations are overloaded, Capacity/(1+n*CapacityFactor) places must stay free, and the messages to another
-// destination below its rate must all be admitted.
+// If n destinations are overloaded, Capacity/(1+n*CapacityFactor) of the capacity must stay free. Messages to another
+// destination, which arrive below its rate, must all be admitted.
 func TestOverloadedDestinationsLeaveCapacityForOthers(t *testing.T) {
 	for _, overloaded := range []int{1, 3, 20} {
 		const capacity = 1700
@@ -174,7 +174,7 @@
 		}
 		free := capacity - s.c.InFlight()
 		if want := capacity / (1 + overloaded*CapacityFactor); free < want-overloaded {
-			t.Errorf("%d overloaded destinations: got %d free places, want %d", overloaded, free, want)
+			t.Errorf("%d overloaded destinations: got a free capacity of %d, want %d", overloaded, free, want)
 		}
 		s.submitAtRate(0, 50, 5*time.Second, 28*time.Second)
 		s.advance(5 * time.Second)
--- a/decide/admission/boundaries_test.go
+++ b/decide/admission/boundaries_test.go
@@ -106,8 +106,8 @@
 	}
 }
 
-// A sample that ends because no message waits any longer must raise the rate if it was long enough.
-func TestSampleEndingWithBacklogRaisesRate(t *testing.T) {
+// A sample that ends because no message waits must raise the rate if it was long enough.
+func TestSampleEndedByEmptyBacklogRaisesRate(t *testing.T) {
 	for _, test := range []struct {
 		name           string
 		sampleDuration time.Duration
@@ -177,7 +177,7 @@
 		failsInBetween bool
 	}{
 		{name: "before one second", failingFor: time.Second - tick, timeLeft: time.Second, inFlight: 4, want: Admitted},
-		{name: "from one second on", failingFor: time.Second, timeLeft: time.Second, inFlight: 4, want: TooLate, wantRetry: 500 * time.Millisecond},
+		{name: "at one second", failingFor: time.Second, timeLeft: time.Second, inFlight: 4, want: TooLate, wantRetry: 500 * time.Millisecond},
 		{name: "counted from the first failure", failingFor: time.Second, timeLeft: time.Second, inFlight: 4, want: TooLate, wantRetry: 500 * time.Millisecond, failsInBetween: true},
 		{name: "expected to last for 3 s more", failingFor: 3 * time.Second, timeLeft: 6 * time.Second, inFlight: 4, want: Admitted},
 		{name: "expected to last longer than the message may wait", failingFor: 3*time.Second + tick, timeLeft: 6 * time.Second, inFlight: 4, want: TooLate, wantRetry: 100 * time.Millisecond},
@@ -309,7 +309,7 @@
 	}
 }
 
-// The engine is saturated from a lag of half a second or a utilization of 0.9 on.
+// The engine is saturated at a lag of at least half a second or a utilization of at least 0.9.
 func TestSaturationStartsAtLagOrUtilizationLimit(t *testing.T) {
 	for _, test := range []struct {
 		name     string
@@ -391,7 +391,7 @@
 	}
 }
 
-// A destination may use eight times the free places; with messages of the lowest weight, a sixteenth of that.
+// A destination may use eight times the free capacity; with messages of the lowest weight, a sixteenth of that.
 func TestCapacityShareDependsOnFreeCapacityAndWeight(t *testing.T) {
 	for _, test := range []struct {
 		name            string
@@ -400,8 +400,8 @@
 		want            Reason
 		wantRetry       time.Duration
 	}{
-		{"last place of the share", 90, 0, 79, 1, Admitted, 0}, // 80 of 8 * 11
-		{"exactly the share", 89, 0, 79, 1, Admitted, 0},       // 80 of 8 * 10
+		{"last message of the share", 90, 0, 79, 1, Admitted, 0}, // 80 of 8 * 11
+		{"exactly the share", 89, 0, 79, 1, Admitted, 0},         // 80 of 8 * 10
 		{"one more than the share", 90, 0, 80, 1, NoCapacity, time.Second},
 		{"no free capacity", 90, 90, 0, 1, NoCapacity, time.Second},
 		{"low weight, far above the share", 90, 70, 9, 0, NoCapacity, time.Second}, // 10 of 0.5 * 11
--- a/decide/admission/engineload.go
+++ b/decide/admission/engineload.go
@@ -80,9 +80,9 @@
 }
 
 // expectedWait returns how long a further message waits for the engine, given the number of messages in flight. It is
-// 0 unless the engine is saturated, and stalledWait while it is stalled. Otherwise the messages of destinations that
-// do not fail wait for the engine, at the delivery rate of the node. If the rate is unknown, the saturation is
-// expected to last for as long as it has lasted so far.
+// 0 unless the engine is saturated, and stalledWait while it is stalled. Otherwise it is the time to deliver the
+// messages in flight to destinations that are not failing, at the delivery rate of the node. If the rate is unknown,
+// the saturation is expected to last for as long as it has lasted so far.
 func (e *engineState) expectedWait(now Time, inFlight int) time.Duration {
 	if !e.load.saturated() {
 		return 0
--- a/decide/admission/rate.go
+++ b/decide/admission/rate.go
@@ -31,8 +31,8 @@
 	deliveries  int // in the sample in progress
 }
 
-// setBacklog starts a sample when messages begin to wait, and ends it when none waits any longer. The delivery rate
-// of a sample that ends in this way is a lower bound of the rate.
+// setBacklog starts a sample when messages begin to wait, and ends it when no message waits. The delivery rate of a
+// sample that ends in this way is a lower bound of the rate.
 func (r *deliveryRate) setBacklog(now Time, waiting bool) {
 	switch {
 	case waiting && !r.sampling:
--- a/decide/admission/retry.go
+++ b/decide/admission/retry.go
@@ -19,8 +19,8 @@
 // next returns the delay for a further client.
 //
 // earliest is the delay until its message can be admitted. rate is the rate at which messages complete, in messages a
-// second, or 0 if it is unknown. Retries are spaced by the time of one message, with delays from minRetryAfter to
-// MaxRetryAfter: clients that retry at the same time would be rejected again.
+// second, or 0 if it is unknown. Clients that retry at the same time would be rejected again. Retry times are
+// therefore at least 1/rate apart, up to MaxRetryAfter from now. The delay is at least minRetryAfter.
 func (p *retryPacer) next(now Time, earliest time.Duration, rate float64) time.Duration {
 	gap := time.Duration(0)
 	if rate > 0 {
--- a/decide/admission/rules.go
+++ b/decide/admission/rules.go
@@ -4,7 +4,8 @@
 
 const (
 	// CapacityFactor is the multiple of the free capacity that one destination may use with messages of the highest
-	// weight. If n destinations are overloaded, Capacity/(1+n*CapacityFactor) places stay free for the others.
+	// weight. If n destinations are overloaded, Capacity/(1+n*CapacityFactor) of the capacity stays free for the
+	// others.
 	CapacityFactor = 8
 	// minCapacityFactorFraction is the smallest fraction of CapacityFactor that applies to a class.
 	minCapacityFactorFraction = 1.0 / 16
@@ -26,7 +27,8 @@
 // The inputs are the expected wait for the engine (see engineState.expectedWait) and the time until the deadline. A
 // message is rejected if its expected wait exceeds MaxWaitFraction of that time.
 //
-// A message that the engine cannot process in time would be accepted only to expire, regardless of its destination.
+// If the engine cannot process a message in time, the message would expire after it was accepted, regardless of its
+// destination.
 func (c *Controller) checkSaturation(now Time, timeLeft time.Duration) Decision {
 	wait, maxWait := c.engine.expectedWait(now, c.inFlight), MaxWaitFraction*float64(timeLeft)
 	if float64(wait) <= maxWait {
@@ -38,8 +40,8 @@
 // checkCapacity rejects a message whose destination already uses its share of the capacity.
 //
 // The inputs are the numbers of messages in flight, in total and of the destination, and the priority weight of the
-// class. The messages of a destination may reach the factor of the class times the free capacity. The factor is
-// CapacityFactor for the class of the highest weight, and proportionally less for others.
+// class. The messages in flight to a destination are limited to the factor of the class times the free capacity.
+// The factor is CapacityFactor for the class of the highest weight, and proportionally less for others.
 //
 // The share shrinks as the capacity is used up, so an overloaded destination leaves capacity for the others.
 func (c *Controller) checkCapacity(now Time, d *destination, class int) Decision {
