--- a/decide/gossip/disseminate.go
+++ b/decide/gossip/disseminate.go
@@ -22,7 +22,7 @@
 )
 
 // schedule queues a report on the current observations of an endpoint for all peers. contradiction marks a report
-// that only contradicts those of a peer.
+// whose only purpose is to contradict a peer's report.
 func (c *Core) schedule(now time.Duration, o *observedEndpoint, contradiction bool) {
 	r := &o.report
 	r.contradictory = contradiction && (!r.queued || r.contradictory)
--- a/decide/gossip/effects.go
+++ b/decide/gossip/effects.go
@@ -9,7 +9,7 @@
 type Effect struct {
 	Endpoint evidence.Endpoint
 	Down     bool // a quorum reported failures; false means that it has recovered and slow start begins
-	// ProbePause is how long this node sends no probes to an endpoint that is down for peers. All members together
+	// ProbePause is how long this node sends no probes to an endpoint that peers report as down. All members together
 	// send about one probe per Evidence.ProbeInterval, and each member at least one per 1.5 times Evidence.MaxAge.
 	ProbePause time.Duration
 }
@@ -42,7 +42,7 @@
 		c.toAssess[id] = true // at most one recovery per window
 	case recovered:
 		delete(c.suspected, id)
-		// Peers observed the recovery first, so this node has nothing to report. The next failure is a change again.
+		// Peers observed the recovery first, so this node has nothing to report. The next failure counts as a change.
 		o.down, o.previous, o.current, o.recoveredAt = false, tally{}, tally{}, now
 		c.counts.Recovered++
 		c.effects = append(c.effects, Effect{Endpoint: id})
@@ -53,7 +53,7 @@
 		c.suspected[id], o.failedSinceEffect = true, false
 		c.effects = append(c.effects, Effect{Endpoint: id, Down: true, ProbePause: c.probePause()})
 	case !isSuspected:
-		delete(c.suspected, id) // after a call of this node or expired reports: this node's own probes decide
+		delete(c.suspected, id) // ended by a call of this node or by expired reports; this node's own probes decide
 	}
 }
 
--- a/decide/gossip/gossip.go
+++ b/decide/gossip/gossip.go
@@ -35,7 +35,7 @@
 	Window time.Duration
 	// MinInterval is the minimum time between two reports on the same endpoint.
 	MinInterval time.Duration
-	// RefreshInterval is the time after which a report that still holds is sent again.
+	// RefreshInterval is the time after which a report that is still valid is sent again.
 	RefreshInterval time.Duration
 }
 
@@ -47,7 +47,7 @@
 	}
 }
 
-// Packet is a message between nodes. Its sender is the peer of its reports.
+// Packet is a message between nodes. All its reports are about calls of its sender.
 type Packet struct {
 	membership.Packet
 	Reports []evidence.Report
--- a/decide/gossip/observe.go
+++ b/decide/gossip/observe.go
@@ -28,13 +28,13 @@
 	queued        bool
 	lastDue       time.Duration // due time of the latest scheduled report, even if never sent; 0 if none
 	due           time.Duration // earliest time to send it
-	contradictory bool          // it only contradicts a peer, so it is sent after all others
+	contradictory bool          // it only contradicts a peer's report, so it is sent after all others
 	recipients    []membership.Peer
 	priority      priority
 }
 
-// recentCalls returns the calls of the last two windows, or of the last one if the gap between the two is longer than
-// both together.
+// recentCalls returns the calls of the current and the previous window. It omits the previous one if the gap between
+// them is longer than both together.
 func (o *observedEndpoint) recentCalls() tally {
 	sum, previous := o.current, o.previous
 	gap := sum.from - previous.to
@@ -83,8 +83,8 @@
 }
 
 // contradicts reports whether this node's calls to an endpoint succeed although a peer reports failures, and this
-// node has not reported on it for RefreshInterval. A report is then sent to the peer and to those that received its
-// report.
+// node has not reported on it for RefreshInterval. A report is then sent to all peers, which include those that
+// received the peer's report.
 func (c *Core) contradicts(now time.Duration, o *observedEndpoint) bool {
 	if o == nil || o.down || o.current.calls == 0 || now-o.current.to > c.settings.Evidence.OwnSuccessTime {
 		return false
