--- a/decide/evidence/assess.go
+++ b/decide/evidence/assess.go
@@ -6,9 +6,9 @@
 const (
 	// minCountedWeight is the minimum weight of a peer whose reports count.
 	minCountedWeight = 1.0 / 8
-	// quorumWeight is the weight that the peers that report failures must have in total for each peer of a quorum. It
-	// is below initialWeight, so that a quorum of three suffices even if one of its peers was recently wrong. A
-	// single peer of this weight is enough to show that an endpoint has recovered.
+	// quorumWeight times the quorum size is the minimum total weight of the peers that report failures. quorumWeight is
+	// below initialWeight, so that a quorum of three suffices even if one of its peers was recently wrong. A single peer
+	// of this weight is enough to show that an endpoint has recovered.
 	quorumWeight = 3.0 / 8
 	// downToUpRatio is the factor by which the total weight of peers that report failures must exceed that of peers
 	// that report successes.
@@ -92,8 +92,8 @@
 // Recovered reports whether an endpoint has recovered: a peer of at least quorumWeight reported a success that is
 // later than this node's last failure and the last failure that peers reported. It returns false if this node's own
 // last call succeeded after an earlier failure. Package decide/gossip uses it only for endpoints that it suspects or
-// that fail for this node. A single peer is enough because only a call at the rate of slow start follows, and a false
-// report costs the peer weight through that call.
+// to which this node's calls fail. A single peer is enough because only a call at the rate of slow start follows, and
+// that call reduces the weight of a peer that reported falsely.
 func (v *Evaluator) Recovered(now time.Duration, id Endpoint) bool {
 	e := v.endpoints[id]
 	if e == nil || e.succeeded.observed && e.failed.observed && e.succeeded.at >= e.failed.at {
--- a/decide/evidence/evidence.go
+++ b/decide/evidence/evidence.go
@@ -5,8 +5,8 @@
 //   - fewer peers than a quorum, see [Quorum], never change the rate at which this node sends to an endpoint;
 //   - no number of peers changes that rate while this node's last call succeeded and ended within
 //     [Settings].OwnSuccessTime;
-//   - a suspicion is only reported: package decide/gossip turns it into an effect, and the caller decides how to
-//     apply it. Package policy opens the endpoint's circuit unless a call succeeded just before, and sends only
+//   - a suspicion changes nothing by itself: package decide/gossip returns it as an effect, and its caller applies the
+//     effect. Package policy opens the endpoint's circuit, unless a call succeeded just before, and then sends only
 //     probes;
 //   - memory is bounded by [Settings].
 //
@@ -32,7 +32,7 @@
 	Zone     int           // availability zone of the peer
 	From, To time.Duration // interval in which the calls ended, by this node's clock
 	Calls    int           // calls that ended in the interval; above 0
-	Failed   int           // calls of these that failed
+	Failed   int           // number of these calls that failed
 }
 
 // down reports whether more than half of the calls failed.
@@ -45,7 +45,7 @@
 	MaxClockSkew     time.Duration // maximum difference between clocks
 	OwnSuccessTime   time.Duration // how long a successful call of this node overrides all peers
 	EvaluationWindow time.Duration // how long after a report a call of this node may still confirm or refute it
-	WeightHalfLife   time.Duration // time in which a weight below the initial weight regains half of the difference
+	WeightHalfTime   time.Duration // time in which a weight below the initial weight regains half of the difference
 	Share            float64       // Assessment.Share if suspected, above 0 and below 1; decide/gossip does not use it
 	ProbeInterval    time.Duration // maximum interval between probes to a suspected endpoint
 	MaxEndpoints     int           // maximum number of endpoints with stored reports
@@ -57,7 +57,7 @@
 func Defaults(zone int) Settings {
 	return Settings{
 		Zone: zone, MaxAge: 10 * time.Second, MaxClockSkew: time.Second, OwnSuccessTime: 2 * time.Second, EvaluationWindow: 2 * time.Second,
-		WeightHalfLife: 10 * time.Minute, Share: 0.125, ProbeInterval: time.Second, MaxEndpoints: 8192, MaxPeers: 1024, MaxReports: 1 << 16,
+		WeightHalfTime: 10 * time.Minute, Share: 0.125, ProbeInterval: time.Second, MaxEndpoints: 8192, MaxPeers: 1024, MaxReports: 1 << 16,
 	}
 }
 
--- a/decide/evidence/reputation.go
+++ b/decide/evidence/reputation.go
@@ -19,7 +19,7 @@
 )
 
 // reputation is the weight of a peer and the number of its confirmed and refuted reports. [PeerReputation] is the
-// exported form; operators see it as trust.
+// exported form, which is shown to operators as trust.
 type reputation struct {
 	weight       float64
 	at           time.Duration // when the weight was last updated
@@ -39,7 +39,7 @@
 }
 
 // reputationAt returns the reputation of a peer with its weight updated to now. A weight below the initial weight
-// regains half of the difference per WeightHalfLife.
+// regains half of the difference per WeightHalfTime.
 func (v *Evaluator) reputationAt(now time.Duration, id Peer) *reputation {
 	p := v.peers[id]
 	if p == nil {
@@ -47,7 +47,7 @@
 		v.peers[id] = p
 	}
 	if p.weight < initialWeight && now > p.at {
-		missing := (initialWeight - p.weight) * math.Exp2(-float64(now-p.at)/float64(v.settings.WeightHalfLife))
+		missing := (initialWeight - p.weight) * math.Exp2(-float64(now-p.at)/float64(v.settings.WeightHalfTime))
 		p.weight = initialWeight - missing
 	}
 	p.at = max(p.at, now)
@@ -94,7 +94,7 @@
 
 func (v *Evaluator) maxReputations() int { return reputationsPerMember * v.settings.MaxPeers }
 
-// PeerReputation is the reputation of a peer, as operators see it and as it is saved.
+// PeerReputation is the reputation of a peer, as shown to operators and saved.
 type PeerReputation struct {
 	Peer         Peer
 	Member       bool
