--- a/decide/membership/membership.go
+++ b/decide/membership/membership.go
@@ -137,7 +137,7 @@
 }
 
 // Leave announces that this node leaves the cluster, and returns the packets to send. It notifies a few members at
-// once; the digest of every later packet also has the node as left.
+// once; the digest of every later packet also marks the node as left.
 func (n *Node) Leave(now time.Duration) []Outgoing {
 	n.leaving = true
 	n.broadcast(Update{Member: n.settings.Self, Status: Left, Incarnation: n.incarnation})
--- a/decide/membership/membership_test.go
+++ b/decide/membership/membership_test.go
@@ -358,7 +358,7 @@
 
 // No node exceeds its packet rate limit, for any cluster size, also after a third of the nodes stop and with 20%
 // packet loss.
-func TestPacketRateLimitHoldsAtAnySize(t *testing.T) {
+func TestPacketRateStaysWithinLimitAtAnySize(t *testing.T) {
 	for _, size := range []int{3, 30, 100} {
 		c := newCluster(t, 7)
 		for i := range size {
--- a/decide/membership/receive.go
+++ b/decide/membership/receive.go
@@ -8,7 +8,7 @@
 	// maxIncarnation is the highest incarnation that is accepted. It leaves room for a refutation to use a higher
 	// one.
 	maxIncarnation = 1 << 62
-	// relaysPerDatagram is the maximum number of relays in progress for each packet per second of the rate limit.
+	// relaysPerDatagram is the maximum number of relays in progress, as a multiple of [Settings].Datagrams.
 	relaysPerDatagram = 4
 )
 
@@ -166,7 +166,7 @@
 	case n.leaving, u.Incarnation < n.incarnation, u.Status == Alive && u.Incarnation == n.incarnation:
 		return
 	}
-	// The node is suspected, declared dead, or known by an incarnation that it no longer has.
+	// The node is suspected, declared dead, or has a higher incarnation in another node's view.
 	n.incarnation = u.Incarnation + 1
 	n.counts.Refutations++
 	if u.Status == Suspect {
--- a/decide/membership/send.go
+++ b/decide/membership/send.go
@@ -5,7 +5,7 @@
 // responseReserveDivisor determines the part of the packet rate limit that is reserved for responses: one quarter.
 const responseReserveDivisor = 4
 
-// send queues a packet with as many updates as fit, unless the rate limit is reached. Responses may use the whole
+// send queues a packet with as many updates as fit, unless the rate limit is reached. Responses may use the full
 // limit; probes leave a quarter of it to responses.
 func (n *Node) send(now time.Duration, to Peer, p Packet, differs bool) {
 	if s := now.Truncate(time.Second); s != n.sentSecond {
--- a/decide/membership/settings.go
+++ b/decide/membership/settings.go
@@ -8,8 +8,8 @@
 	Seeds            []Peer
 	Incarnation      uint64        // must exceed every earlier one of this name, also from before a restart
 	Period           time.Duration // time between two probes
-	Timeout          time.Duration // time to wait for an Ack before asking other members to probe; must be below Period
-	IndirectProbes   int           // number of members asked to probe
+	Timeout          time.Duration // time to wait for an Ack before indirect probes; must be below Period
+	IndirectProbes   int           // number of members asked to probe a target indirectly
 	Alpha            float64       // a suspicion lasts at least Alpha·log10(members) periods
 	Beta             float64       // and at most Beta times this minimum
 	Confirmations    int           // number of confirmations that reduce a suspicion to its minimum duration
