--- a/decide/polling/polling.go
+++ b/decide/polling/polling.go
@@ -29,7 +29,7 @@
 )
 
 const (
-	// PropagationBound is the maximum time until a change counts as announced, from when the directory has the change
+	// PropagationBound is the maximum time until a change has reached every node, from when the directory has the change
 	// and is reachable.
 	PropagationBound = 6 * time.Second
 	// MaxSpread is the maximum time over which one call per node is spread. A directory has the capacity for one call
@@ -38,7 +38,7 @@
 	// MinInterval is the minimum time between two calls of a node.
 	MinInterval = 50 * time.Millisecond
 
-	// spreadPerNode is the average time between two calls of the whole fleet to a directory that rejects them.
+	// spreadPerNode is the average time between two calls, of any nodes of the fleet, to a directory that rejects them.
 	spreadPerNode = 100 * time.Millisecond
 	// smallFleetRetryRange limits the range from which the delays of a small fleet are drawn. Larger fleets use
 	// longer ranges.
--- a/decide/polling/polling_test.go
+++ b/decide/polling/polling_test.go
@@ -53,9 +53,9 @@
 			took = min(took, 20*time.Millisecond)
 		}
 		// Endings of the calls that start before the change. The last of them is in progress at the change and its
-		// response never arrives. silent includes a response that arrives too slowly and a connection that is not
-		// established.
-		endings := rapid.SampledFrom([]condition{open, rejecting, silent})
+		// response never arrives. unresponsive includes a response that arrives too slowly and a connection that is
+		// not established.
+		endings := rapid.SampledFrom([]condition{responding, rejecting, unresponsive})
 		at, failures, ended := s.InitialDelay(), 0, time.Duration(-1)
 		for at < changed {
 			limit := s.ChangeTimeout(failures) + s.ResponseTimeout(failures)
@@ -64,7 +64,7 @@
 			}
 			rejected := false
 			switch endings.Draw(t, "ending") {
-			case open: // the call waits for a change that does not occur
+			case responding: // the call waits for a change that does not occur
 				if at+limit > changed { // a response would contain the change, so it is lost
 					limit = s.ChangeTimeout(failures) + s.ResponseTimeout(failures)
 					failures++
@@ -76,7 +76,7 @@
 			case rejecting:
 				limit, rejected = time.Millisecond, true
 				failures++
-			case silent:
+			case unresponsive:
 				failures++
 			}
 			ended = at + limit
@@ -103,9 +103,9 @@
 type condition int
 
 const (
-	open condition = iota
+	responding condition = iota
 	rejecting
-	silent
+	unresponsive
 )
 
 // maxQueueTime is the maximum time that a call may be queued at a directory.
@@ -140,7 +140,7 @@
 		calls[a.at/time.Second]++
 		wait, rejected := time.Millisecond, true
 		switch d.state(a.at) {
-		case open:
+		case responding:
 			if d.busyUntil = max(d.busyUntil, a.at); d.busyUntil-a.at > maxQueueTime {
 				break
 			}
@@ -151,7 +151,7 @@
 				continue
 			}
 			wait = s.ResponseTimeout(1)
-		case silent:
+		case unresponsive:
 			wait, rejected = s.ResponseTimeout(1), false
 		}
 		a.failures++
@@ -169,13 +169,13 @@
 	rapid.Check(t, func(t *rapid.T) {
 		nodes := rapid.IntRange(1, 1100).Draw(t, "nodes")
 		spread := rapid.Float64Range(2, 8).Draw(t, "seconds for one call per node")
-		fault := rapid.SampledFrom([]condition{rejecting, silent}).Draw(t, "fault")
+		fault := rapid.SampledFrom([]condition{rejecting, unresponsive}).Draw(t, "fault")
 		until := time.Duration(rapid.IntRange(0, 20).Draw(t, "until")) * time.Second
 		d := &directory{rate: max(2, float64(nodes)/spread), state: func(at time.Duration) condition {
 			if at < until {
 				return fault
 			}
-			return open
+			return responding
 		}}
 		answered, calls := simulate(nodes, rapid.Uint64().Draw(t, "seed"), d, until+2*time.Minute)
 		late := 0
