--- a/decide/rules/compile.go
+++ b/decide/rules/compile.go
@@ -67,7 +67,7 @@
 	}
 }
 
-// checkCounts checks the number of tables of each sort against its limit. It returns false if it reported an error.
+// checkCounts checks the number of tables of each kind against its limit. It returns false if it reported an error.
 func (c *compiler) checkCounts() bool {
 	for _, tables := range []struct {
 		name         string
--- a/decide/rules/compile_message.go
+++ b/decide/rules/compile_message.go
@@ -16,7 +16,7 @@
 }
 
 // compileMessage compiles the declaration of one kind of message. identityOwners maps the names of the identities of
-// earlier declarations to their classes: only one kind of message may declare an identity of a name.
+// earlier declarations to their classes: two kinds of message must not declare identities with the same name.
 func (c *compiler) compileMessage(place string, m MessageSpec, identityOwners map[string]string) *expressionCompiler {
 	report := c.reportIn(place)
 	errorsBefore := len(c.errs)
--- a/decide/rules/compile_rule.go
+++ b/decide/rules/compile_rule.go
@@ -85,7 +85,7 @@
 	}
 }
 
-// isWeaker reports whether a class with the setting to allows repeats that would be harmful in a class with from.
+// isWeaker reports whether the setting to allows repeats that would be harmful with the setting from.
 func isWeaker(from, to policy.Repeat) bool {
 	byHarm := []policy.Repeat{policy.Idempotent, policy.Deduplicated, policy.AtMostOnce}
 	return slices.Index(byHarm, to) < slices.Index(byHarm, from)
--- a/decide/rules/cost_test.go
+++ b/decide/rules/cost_test.go
@@ -24,7 +24,8 @@
 }
 
 // expression returns an expression of a type: s (string), i (int), d (double), b (bool), S (list of strings) or I (list
-// of ints). In the templates % and a type is replaced by an expression of the type, and %v by a new loop variable.
+// of ints). In a template, % followed by a type is replaced by an expression of that type, and %v by a new loop
+// variable.
 func (g *generator) expression(typ string, depth int) string {
 	templates := map[string][]string{
 		"s": {`"a"`, `"urgent line"`, `""`},
--- a/decide/rules/rules.go
+++ b/decide/rules/rules.go
@@ -9,7 +9,7 @@
 //
 // A Set is immutable and safe for concurrent use.
 //
-// Start reading at [Compile] (compile.go) and [Set.Evaluate] (evaluate.go). docs/design/rules.md weighs the options;
+// Start reading at [Compile] (compile.go) and [Set.Evaluate] (evaluate.go). docs/design/rules.md compares the options;
 // docs/operate/rules.md describes the file.
 package rules
 
@@ -42,7 +42,7 @@
 	Body           []byte
 }
 
-// NoRule is [Result.Rule] of a message that no rule matched.
+// NoRule is the [Result.Rule] of a message that no rule matched.
 const NoRule = -1
 
 // Result is the class and key of a message after evaluation.
@@ -132,7 +132,7 @@
 	Bound       uint64 // cost units
 }
 
-// CostBreakdown returns the cost bounds of the parts of each kind's evaluation, and then of the whole evaluation, in
+// CostBreakdown returns the cost bounds of the parts of each kind's evaluation, followed by the kind's cost bound, in
 // the order of the file.
 func (s *Set) CostBreakdown() []CostItem {
 	var items []CostItem
