--- a/decide/rollout/key.go
+++ b/decide/rollout/key.go
@@ -5,8 +5,8 @@
 	"wingmount/internal/container"
 )
 
-// KeyHash identifies the key of a message whose class guarantees something about keys. 0 means that the message has no
-// such key.
+// KeyHash identifies the key of a message whose class gives guarantees about messages with the same key. 0 means that
+// the message has no such key.
 type KeyHash uint64
 
 // Kind identifies the guarantees that apply to a key. A rollout affects keys of some kinds, and ends when no key of
--- a/decide/rollout/ledger.go
+++ b/decide/rollout/ledger.go
@@ -1,10 +1,10 @@
 // Package rollout decides which messages must wait while a new rule set is rolled out and messages that were admitted
 // under the previous one are unfinished. It does no I/O, reads no clock and starts no goroutines.
 //
-// A message whose class guarantees something about keys has a [KeyHash]. During a rollout, a new message whose hash
-// differs from the one that the previous rules give it is admitted only if no message of an earlier generation uses
-// that previous hash. A [Ledger] records the hashes in use. It guarantees that a hash in use is never treated as free,
-// and that every hash eventually becomes free.
+// A message whose class gives guarantees about messages with the same key has a [KeyHash]. During a rollout, a new
+// message whose hash differs from the one that the previous rules give it is admitted only if no message of an earlier
+// generation uses that previous hash. A [Ledger] records the hashes in use. It guarantees that a hash in use is never
+// treated as free, and that every hash eventually becomes free.
 //
 // A Ledger is not safe for concurrent use. Start reading at [Ledger.Admit].
 package rollout
@@ -22,11 +22,11 @@
 	Admitted    Verdict = iota // the message may be accepted, and was added to the ledger
 	Duplicate                  // its id is already in the ledger: the message is being accepted, or is unfinished
 	Conflict                   // a message of an earlier generation uses its previous hash
-	MayConflict                // such a message may exist: a hash was evicted, or belongs to an earlier process
+	MayConflict                // such a message may exist: its hash was evicted, or was used in an earlier process
 	Full                       // the ledger is at its limit of messages; independent of a rollout
 )
 
-// retryInterval is how long a client should wait if the ledger can't tell when the message can be admitted.
+// retryInterval is how long a client should wait if it is unknown when the message can be admitted.
 const retryInterval = time.Second
 
 // Ledger records the keys in use. Times are offsets from a fixed origin and must not decrease.
