--- a/internal/ruleset/change.go
+++ b/internal/ruleset/change.go
@@ -68,8 +68,8 @@
 	}
 }
 
-// queueChange replaces the pending rule set. It returns false if the set is the active one, so that no change is
-// pending. The caller holds mu.
+// queueChange replaces the pending rule set. If the set is the active one, it returns false, and no change is pending.
+// The caller holds mu.
 func (m *Manager) queueChange(set ruleSet) bool {
 	if set.text == m.active.text {
 		m.pending = nil
@@ -79,7 +79,7 @@
 	return true
 }
 
-// startChange persists both rule sets and starts the change from active to set. The caller holds fileMu.
+// startChange persists both rule sets and starts the change from active to set. The caller has locked fileMu.
 func (m *Manager) startChange(set, active ruleSet) error {
 	if err := beforeRecord.At(); err != nil {
 		return err
@@ -121,8 +121,8 @@
 	return true
 }
 
-// completeChange completes the change in progress if no older message uses an affected key any longer. It reports
-// whether it completed one.
+// completeChange completes the change in progress if older messages no longer use any affected key. It reports whether
+// it completed one.
 func (m *Manager) completeChange() bool {
 	now := m.lockAndDrain()
 	defer m.mu.Unlock()
--- a/internal/ruleset/golden_test.go
+++ b/internal/ruleset/golden_test.go
@@ -35,7 +35,7 @@
 
 // A process that finds a record with two rule sets resumes their change. A process that finds a record with one rule
 // set starts with that set.
-func TestGoldenRecordIsContinued(t *testing.T) {
+func TestGoldenRecordRestoresRulesAndResumesChange(t *testing.T) {
 	for name, changing := range map[string]bool{"one_set": false, "change": true} {
 		t.Run(name, func(t *testing.T) {
 			f := newFixture(t, t.TempDir())
--- a/internal/ruleset/manager.go
+++ b/internal/ruleset/manager.go
@@ -23,9 +23,9 @@
 )
 
 const (
-	// defaultLedgerCapacity is the maximum number of messages in flight in the ledger, and of keys. A message above it
-	// is rejected (rollout.Full), even if no change is in progress and the node's own limit is higher. A key above it
-	// is evicted, which only makes messages wait during a change.
+	// defaultLedgerCapacity is the maximum number of messages in flight in the ledger, and of keys. At the limit, a new
+	// message is rejected (rollout.Full), even if no change is in progress and the node's own limit is higher. A new key
+	// causes the eviction of another one, which only makes messages wait during a change.
 	defaultLedgerCapacity = 1 << 17
 	// changeCheckInterval is how often the manager checks whether a change has completed.
 	changeCheckInterval = 250 * time.Millisecond
@@ -62,8 +62,8 @@
 	Waits     uint64 // rejected with a [WaitError] by the ledger
 	// HighestCost is the highest cost of evaluating one message, in cost units.
 	HighestCost uint64
-	// LastInvalidPlace is the place of the error in the last invalid message. It contains nothing of the message's
-	// content.
+	// LastInvalidPlace is the place of the error in the last invalid message. It contains no content of the
+	// message.
 	LastInvalidPlace string
 }
 
--- a/internal/ruleset/manager_test.go
+++ b/internal/ruleset/manager_test.go
@@ -92,9 +92,9 @@
 }
 
 // During a change, a message waits while an older message uses its previous key; otherwise it could overtake that
-// message. The change completes when the older messages have completed. Of the rule sets loaded meanwhile, the last one
-// follows.
-func TestChangeMessageWaitsForOlderUseOfPreviousKey(t *testing.T) {
+// message. The change completes when the older messages have completed. The rule set that was loaded last then becomes
+// active.
+func TestMessageWaitsForOlderUseOfPreviousKeyDuringChange(t *testing.T) {
 	f := newFixture(t, t.TempDir())
 	f.keyRetention = 0
 	m := f.start(true)
@@ -343,7 +343,7 @@
 // A message can overtake an older unfinished message if the rules of the older message would give both the same key,
 // but the current rules give the newer one another key. The test records every unfinished message with its rules, and
 // checks that no such message is accepted across changes and restarts.
-func TestOrderAcrossChangesAndRestarts(t *testing.T) {
+func TestOrderIsKeptAcrossChangesAndRestarts(t *testing.T) {
 	waits, acceptedCount := 0, 0
 	rapid.Check(t, func(t *rapid.T) {
 		dir, err := os.MkdirTemp("", "ruleset")
