--- a/decide/admission/admission.go
+++ b/decide/admission/admission.go
@@ -166,7 +166,7 @@
 	c.addInFlight(now, c.destinationState(now, destination), class)
 }
 
-// Release stops counting an admitted message that the node did not accept after all.
+// Release stops counting an admitted message that the node then did not accept.
 func (c *Controller) Release(now Time, destination, class int) {
 	c.removeInFlight(c.destinationState(now, destination), class)
 }
--- a/decide/admission/engineload.go
+++ b/decide/admission/engineload.go
@@ -97,7 +97,7 @@
 	return e.load.Lag + durationFromSeconds(float64(inFlight-e.inFlightToFailing)/rate)
 }
 
-// retryAfter returns the delay for a client whose message would wait for the engine for longer than allowed by
+// retryAfter returns the delay for a client whose message's expected wait for the engine exceeds the allowed wait by
 // excess. A stall is expected to last for as long as it has lasted so far.
 func (e *engineState) retryAfter(now Time, excess time.Duration) time.Duration {
 	if e.load.stalled() {
