--- a/decide/placement/builder.go
+++ b/decide/placement/builder.go
@@ -5,8 +5,8 @@
 // builder computes one table.
 //
 // A destination is large if its slot load exceeds largeFraction of the mean fair load of a node, and hot if its slot
-// load exceeds that mean. Large destinations are placed first. The fair loads of the other destinations are
-// computed after that, so that each remaining slot load is small compared with the bounds.
+// load exceeds that mean. Large destinations are placed first. The fair loads of the other destinations are then
+// computed with the large loads as a base, so that each remaining slot load is small compared with the bounds.
 type builder struct {
 	*Table
 	*topology
--- a/decide/polling/polling.go
+++ b/decide/polling/polling.go
@@ -38,7 +38,7 @@
 	// MinInterval is the minimum time between two calls of a node.
 	MinInterval = 50 * time.Millisecond
 
-	// spreadPerNode is the average time between two calls, of any nodes of the fleet, to a directory that rejects them.
+	// spreadPerNode is the average time between two calls from all nodes together to a directory that rejects them.
 	spreadPerNode = 100 * time.Millisecond
 	// smallFleetRetryRange limits the range from which the delays of a small fleet are drawn. Larger fleets use
 	// longer ranges.
