--- a/internal/engine/assignment.go
+++ b/internal/engine/assignment.go
@@ -7,33 +7,33 @@
 	"wingmount/policy"
 )
 
-// Assignment is a change of what is assigned to this node, where destinations are assigned to nodes. What it leaves out
-// stays as it was.
+// Assignment is a change of the quotas and endpoints assigned to this node, if destinations are assigned to nodes.
+// Destinations that a map does not contain are unchanged.
 type Assignment struct {
-	// Quotas are fractions of destinations' rate limits, by destination; 0 for none.
+	// Quotas are fractions of the destinations' rate limits, by destination. 0 removes the quota.
 	Quotas map[int]float64
-	// Endpoints are all endpoints of destinations, by destination, and empty for a destination that is not assigned any
-	// more. The map is nil if the node has a list of endpoints of its own.
+	// Endpoints has all endpoints of each destination in it, and none for a destination that is no longer assigned. The
+	// map is nil if the node gets its endpoints from its own directory.
 	Endpoints map[int][]directory.Member
 }
 
-// assignmentChanged is an event: what this node may send from the next step on.
+// assignmentChanged is the event that changes quotas, endpoints or the lease, with effect from the next step.
 type assignmentChanged struct {
 	Assignment
-	leaseInForce *bool         // whether any quota may be used; nil if that stays
-	done         chan struct{} // closed once the module knows of the change
+	leaseValid *bool         // whether quotas may be used; nil for no change
+	done       chan struct{} // closed after the step that passes the change to the module
 }
 
-// SetAssignment changes what is assigned to this node. Quotas count while its lease is in force. SetAssignment returns
-// when the module follows them, or when Run has returned.
+// SetAssignment changes the quotas and endpoints assigned to this node. Quotas apply only while its lease is valid.
+// SetAssignment returns when the module has applied the change, or when Run has returned.
 func (e *Engine) SetAssignment(assignment Assignment) {
 	e.postAndWait(assignmentChanged{Assignment: assignment, done: make(chan struct{})})
 }
 
-// SetLeaseInForce sets whether this node has a lease in force: without one it makes no call. It returns as
-// SetAssignment does.
-func (e *Engine) SetLeaseInForce(inForce bool) {
-	e.postAndWait(assignmentChanged{leaseInForce: &inForce, done: make(chan struct{})})
+// SetLeaseValid sets whether this node's lease is valid. Without a valid lease the node makes no call. SetLeaseValid
+// returns when the module has applied the change, or when Run has returned.
+func (e *Engine) SetLeaseValid(valid bool) {
+	e.postAndWait(assignmentChanged{leaseValid: &valid, done: make(chan struct{})})
 }
 
 func (e *Engine) postAndWait(changed assignmentChanged) {
@@ -50,8 +50,8 @@
 		e.quotas.set(destination, quota)
 		changed = append(changed, destination)
 	}
-	if a.leaseInForce != nil && *a.leaseInForce != e.quotas.leaseInForce {
-		e.quotas.leaseInForce = *a.leaseInForce
+	if a.leaseValid != nil && *a.leaseValid != e.quotas.leaseValid {
+		e.quotas.leaseValid = *a.leaseValid
 		for destination := range e.quotas.byDestination {
 			changed = append(changed, destination)
 		}
@@ -59,7 +59,7 @@
 	if a.Endpoints != nil {
 		e.updateEndpoints(e.listChanges(a.Endpoints))
 	}
-	if event := e.limitChanges(changed); len(event.Entries) > 0 {
+	if event := e.limitUpdate(changed); len(event.Entries) > 0 {
 		e.batch = append(e.batch, event)
 	}
 	if a.done != nil {
@@ -67,7 +67,7 @@
 	}
 }
 
-// listChanges returns the changes to the list of endpoints after which destinations have exactly the endpoints given.
+// listChanges returns the list changes that give each destination in the map exactly the endpoints given for it.
 func (e *Engine) listChanges(endpoints map[int][]directory.Member) directory.List {
 	list := directory.List{Live: true}
 	for _, number := range slices.Sorted(maps.Keys(endpoints)) {
@@ -83,8 +83,8 @@
 	return list
 }
 
-// limitChanges returns the module's event for the limits of destinations' endpoints as they are now.
-func (e *Engine) limitChanges(destinations []int) policy.EndpointUpdate {
+// limitUpdate returns the module's event with the current limits of the destinations' endpoints.
+func (e *Engine) limitUpdate(destinations []int) policy.EndpointUpdate {
 	var event policy.EndpointUpdate
 	for _, number := range destinations {
 		for _, endpoint := range e.quotas.endpoints[number] {
@@ -97,16 +97,16 @@
 	return event
 }
 
-// assignedQuotas are the quotas of this node, where destinations are assigned to nodes.
+// assignedQuotas has the quotas of this node and the endpoints that they apply to.
 type assignedQuotas struct {
 	assigned      bool // destinations are assigned to nodes
-	leaseInForce  bool
+	leaseValid    bool
 	byDestination map[int]float64 // fractions of the rate limit, without zeros
 	endpoints     map[int][]ratedEndpoint
-	waiting       []chan struct{} // to be closed once the module knows of the changes of this round
+	waiting       []chan struct{} // closed by notifyWaiting when the module has applied the changes of this round
 }
 
-// ratedEndpoint is an endpoint with its rate limit in the directory's list, in calls a second.
+// ratedEndpoint is an endpoint and its rate limit from the directory's list, in calls per second.
 type ratedEndpoint struct {
 	*trackedEndpoint
 	rate float64
@@ -116,25 +116,26 @@
 	return assignedQuotas{assigned: assigned, byDestination: map[int]float64{}, endpoints: map[int][]ratedEndpoint{}}
 }
 
-// limit returns how many calls a second this node may make to an endpoint of a destination.
+// limit returns this node's rate limit for an endpoint of a destination, given the endpoint's total rate limit. Both are
+// in calls per second.
 //
-// Inputs: the destination's quota, whether the lease is in force, and the endpoint's rate limit in calls a second. The
-// limit is quota times rate limit; policy.NoCalls, which is negative, without a quota or a lease; and 0, for unknown,
-// where destinations are not assigned or the endpoint has no rate limit.
+// The limit is the destination's quota times the endpoint's rate limit. Without a quota or a valid lease it is
+// policy.NoCalls, which is negative. It is 0, for unknown, if destinations are not assigned or the endpoint has no rate
+// limit.
 //
-// Quotas of all nodes add up to 1, and one without a lease in force may be given to another node.
+// The quotas of all nodes add up to 1, and the quota of a node without a valid lease may be given to another node.
 func (q *assignedQuotas) limit(destination int, rate float64) float64 {
 	if !q.assigned {
 		return 0
 	}
 	quota := q.byDestination[destination]
-	if !q.leaseInForce || quota == 0 {
+	if !q.leaseValid || quota == 0 {
 		return policy.NoCalls
 	}
 	return quota * rate
 }
 
-// set sets the quota of a destination.
+// set sets the quota of a destination, or removes it if the quota is 0.
 func (q *assignedQuotas) set(destination int, quota float64) {
 	if quota > 0 {
 		q.byDestination[destination] = quota
@@ -143,7 +144,8 @@
 	delete(q.byDestination, destination)
 }
 
-// attach adds an endpoint, whose limit changes with the quota of its destination, or changes its rate limit.
+// attach adds an endpoint, so that its limit follows its destination's quota. If the endpoint is present, attach updates
+// its rate limit.
 func (q *assignedQuotas) attach(endpoint *trackedEndpoint, rate float64) {
 	if !q.assigned {
 		return
@@ -156,7 +158,7 @@
 	q.endpoints[endpoint.Destination] = append(all, ratedEndpoint{endpoint, rate})
 }
 
-// detach removes an endpoint.
+// detach removes an endpoint. It is called when the endpoint is evicted.
 func (q *assignedQuotas) detach(endpoint *trackedEndpoint) {
 	all := q.endpoints[endpoint.Destination]
 	i := indexOf(all, endpoint)
@@ -174,7 +176,7 @@
 	return slices.IndexFunc(all, func(r ratedEndpoint) bool { return r.trackedEndpoint == endpoint })
 }
 
-// notifyWaiting lets the callers of SetAssignment and SetLeaseInForce return.
+// notifyWaiting lets the waiting callers of SetAssignment and SetLeaseValid return. It is called at the end of a round.
 func (q *assignedQuotas) notifyWaiting() {
 	for _, done := range q.waiting {
 		close(done)
--- a/internal/engine/assignment_test.go
+++ b/internal/engine/assignment_test.go
@@ -60,9 +60,9 @@
 	yes, no := true, false
 	e.handle(assignmentChanged{Assignment: Assignment{Quotas: map[int]float64{1: 0.5, 2: 0.25, 9: 1}}})
 	wantLimits(t, "with quotas and no lease", e, map[string]float64{"a1": none, "a2": none, "b": none})
-	e.handle(assignmentChanged{leaseInForce: &yes})
+	e.handle(assignmentChanged{leaseValid: &yes})
 	wantLimits(t, "with a lease", e, map[string]float64{"a1": 10, "a2": 10, "b": 5})
-	e.handle(assignmentChanged{leaseInForce: &yes})
+	e.handle(assignmentChanged{leaseValid: &yes})
 	wantLimits(t, "with the same lease", e, map[string]float64{})
 	e.handle(assignmentChanged{Assignment: Assignment{Quotas: map[int]float64{2: 0, 3: 1}}})
 	wantLimits(t, "with other quotas", e, map[string]float64{"b": none, "c": 20})
@@ -70,7 +70,7 @@
 	e.handle(EndpointsChanged{List: directory.List{Members: []directory.Member{left, member("a3", 1, directory.Active)}}})
 	wantLimits(t, "after an endpoint went and one came", e, map[string]float64{"a2": 0.5, "a3": 0.5})
 	e.evict(time.Now())
-	e.handle(assignmentChanged{leaseInForce: &no})
+	e.handle(assignmentChanged{leaseValid: &no})
 	wantLimits(t, "once the lease ends", e, map[string]float64{"a1": none, "a3": none, "c": none})
 	if n := len(e.quotas.endpoints[1]); n != 2 {
 		t.Errorf("got %d endpoints of a destination, want 2", n)
@@ -88,7 +88,7 @@
 	}
 	yes := true
 	done := make(chan struct{})
-	e.handle(assignmentChanged{Assignment: Assignment{Quotas: map[int]float64{7: 1}}, leaseInForce: &yes, done: done})
+	e.handle(assignmentChanged{Assignment: Assignment{Quotas: map[int]float64{7: 1}}, leaseValid: &yes, done: done})
 	select {
 	case <-done:
 		t.Fatal("a change counts as applied before the step")
@@ -111,13 +111,13 @@
 		e.Run(ctx, make(chan struct{}))
 	}()
 	e.SetAssignment(Assignment{Quotas: map[int]float64{7: 1}})
-	e.SetLeaseInForce(true)
+	e.SetLeaseValid(true)
 	cancel()
 	<-ended
-	if e.quotas.byDestination[7] != 1 || !e.quotas.leaseInForce {
-		t.Errorf("got quotas %v, lease in force %v, want 1 for destination 7, true", e.quotas.byDestination, e.quotas.leaseInForce)
+	if e.quotas.byDestination[7] != 1 || !e.quotas.leaseValid {
+		t.Errorf("got quotas %v, lease in force %v, want 1 for destination 7, true", e.quotas.byDestination, e.quotas.leaseValid)
 	}
-	e.SetLeaseInForce(false) // the engine has ended
+	e.SetLeaseValid(false) // the engine has ended
 }
 
 // Where destinations are not assigned the module gets no limit.
@@ -149,7 +149,7 @@
 	yes := true
 	e.handle(assignmentChanged{Assignment: Assignment{Quotas: map[int]float64{1: 0.5, 2: 1}, Endpoints: map[int][]directory.Member{
 		1: {member("a1", 1, directory.Active), member("a2", 1, directory.Active)}, 2: {member("b", 2, directory.Active)},
-	}}, leaseInForce: &yes})
+	}}, leaseValid: &yes})
 	wantLimits(t, "with the first assignment", e, map[string]float64{"a1": 0.5, "a2": 0.5, "b": 1})
 	if !e.listComplete {
 		t.Error("the assignment does not count as a list")
@@ -180,7 +180,7 @@
 	e, f := newAssignedEngine()
 	yes := true
 	there := Assignment{Quotas: map[int]float64{7: 1}, Endpoints: map[int][]directory.Member{7: {member("s1", 7, directory.Active)}}}
-	e.handle(assignmentChanged{Assignment: there, leaseInForce: &yes})
+	e.handle(assignmentChanged{Assignment: there, leaseValid: &yes})
 	e.step(t.Context())
 	e.handle(assignmentChanged{Assignment: Assignment{Quotas: map[int]float64{7: 0}, Endpoints: map[int][]directory.Member{7: nil}}})
 	e.handle(MessageAccepted{Message: &message.Message{Seq: 1, ID: "m", Destination: 7, Deadline: time.Now().Add(20 * time.Second)}})
--- a/internal/engine/contracts.go
+++ b/internal/engine/contracts.go
@@ -11,70 +11,71 @@
 	"wingmount/policy"
 )
 
-// Carrier makes calls. For each part of a call that it starts, the OnOutcome of its [egress.Recorder] posts one
-// [CompletedAttempt] to the engine.
+// Carrier makes calls to endpoints. When a part of a call completes, the OnOutcome callback of the carrier's
+// [egress.Recorder] posts one [CompletedAttempt] to the engine.
 type Carrier interface {
-	// Start makes a call, and does not wait for it.
+	// Start starts a call and returns without waiting for its outcome.
 	Start(ctx context.Context, call *egress.Call)
 	// CloseIdle closes the idle connections to an endpoint.
 	CloseIdle(e *egress.Endpoint)
-	// EvictIdle closes expired connections. It is called about once a second.
+	// EvictIdle closes idle connections that have expired. The engine calls it about once a second.
 	EvictIdle(now time.Time)
 }
 
-// Admission observes what happens to messages, and which destinations exist. None of its methods waits.
+// Admission receives the engine's observations of messages and calls, and the set of known destinations. Its methods do
+// not block. inflight.Registry implements it.
 type Admission interface {
-	// Observe reports what happened since the last call, in order. The slice is the admission's from then on.
+	// Observe reports the observations since the previous call, in order. It takes ownership of the slice.
 	Observe(observations []admission.Observation)
-	// SetDestinations sets which destinations exist, and whether the directory has sent them all since this process
-	// started. The map is the admission's from then on.
+	// SetDestinations replaces the set of existing destinations. The set is complete if the directory has sent its
+	// complete list since this process started. SetDestinations takes ownership of the map.
 	SetDestinations(destinations map[int]bool, complete bool)
-	// RoundBegan and RoundEnded enclose each round of the engine, in which it handles all events that have arrived,
-	// steps the decision module, and carries out its actions.
+	// RoundBegan and RoundEnded are called at the start and the end of each round. In a round the engine handles all
+	// queued events, steps the decision module, and executes its actions.
 	RoundBegan()
 	RoundEnded()
 }
 
-// Notifier announces final responses that are persisted. Add does not wait.
+// Notifier announces persisted final responses to clients. Add does not block.
 type Notifier interface{ Add(m *message.Message) }
 
-// StepLog records each step of the decision module. Step does not wait, and keeps neither slice.
+// StepLog records each step of the decision module. Step does not block, and does not retain the slices.
 type StepLog interface {
 	Step(now policy.Time, events []policy.Event, actions []policy.Action)
 }
 
-// PeerMessenger sends the messages that the decision module has for the other nodes. Send does not wait. platform.Peers
-// implements it.
+// PeerMessenger sends the decision module's messages to the other nodes. Send does not block. platform.Peers implements
+// it.
 type PeerMessenger interface{ Send(policy.NotifyPeers) }
 
-// ObservationSharer shares with other nodes what this node observes of endpoints. None of its methods waits. gossip.Node
+// ObservationSharer shares this node's observations of endpoints with other nodes. Its methods do not block. gossip.Node
 // implements it.
 type ObservationSharer interface {
-	// SetEndpoints sets the endpoints in the directory's list, by name. The map is the sharer's from then on.
+	// SetEndpoints replaces the names of the endpoints in the directory's list. It takes ownership of the map.
 	SetEndpoints(all map[policy.EndpointID]string)
-	// Saw reports that a call has ended after the time given, and whether the endpoint answered it.
-	Saw(id policy.EndpointID, duration time.Duration, answered bool)
+	// RecordCall records that a call completed after the given duration, and whether the endpoint answered it.
+	RecordCall(id policy.EndpointID, duration time.Duration, answered bool)
 }
 
 // Config is the configuration of an engine.
 type Config struct {
 	Settings policy.Settings
 	Seed     uint64
-	// Kinds and Zones are the module's numbers of the directory's names.
+	// Kinds and Zones map the directory's names of kinds and zones to the decision module's numbers.
 	Kinds, Zones map[string]int
-	// ResponseMargin is the time before a message's deadline that is left, beyond a tick, to persist and announce its
-	// final response.
+	// ResponseMargin is the time reserved before a message's deadline, in addition to a tick, to persist and announce
+	// its final response.
 	ResponseMargin time.Duration
-	// Assigned is set if destinations are assigned to nodes: this node makes no call without a quota of the
-	// destination's limit, see [Engine.SetAssignment].
+	// Assigned is set if destinations are assigned to nodes. This node then calls a destination only with a quota of
+	// its rate limit, see [Engine.SetAssignment].
 	Assigned bool
 }
 
 // Dependencies are the collaborators of an engine. WriteContext, PeerMessages, Observations and StepLog may be nil.
 type Dependencies struct {
 	Store store.Store
-	// WriteContext bounds the writes of final responses. It ends, if at all, when the node stops and the store could not
-	// persist them in time: they stay queued in the store, and are not announced by this process.
+	// WriteContext bounds the writes of final responses. It is canceled only when the node stops and the store could
+	// not persist them in time: they stay queued in the store, and this process does not announce them.
 	WriteContext  context.Context
 	Carrier       Carrier
 	Admission     Admission
@@ -82,6 +83,6 @@
 	PeerMessages  PeerMessenger
 	Observations  ObservationSharer
 	StepLog       StepLog
-	HealthHistory HealthHistory // of earlier processes
+	HealthHistory HealthHistory // recorded by earlier processes
 	Log           *slog.Logger
 }
--- a/internal/engine/directory.go
+++ b/internal/engine/directory.go
@@ -7,15 +7,15 @@
 )
 
 const (
-	// vacantRetention is how long a destination without endpoints is kept: its messages wait for an endpoint until
-	// their own deadline.
+	// vacantRetention is how long a destination without endpoints is kept. Until then its messages wait for an endpoint
+	// or for their own deadline.
 	vacantRetention = 10 * time.Minute
-	// healthRetention is how long the history of an earlier process is kept for endpoints that are not in the
-	// directory's list yet. It is too old to count after that.
+	// healthRetention is how long the health history of an earlier process is kept for endpoints that are not in the
+	// directory's list yet. An older history is outdated.
 	healthRetention = time.Minute
 )
 
-// updateEndpoints applies the directory's list, or changes to it.
+// updateEndpoints applies a complete endpoint list or changes to it, and publishes the result.
 func (e *Engine) updateEndpoints(list directory.List) {
 	e.batch = append(e.batch, e.applyList(list))
 	if list.Live && !e.listComplete {
@@ -26,7 +26,7 @@
 	e.publishEndpoints()
 }
 
-// applyList updates the table of endpoints, and returns the module's event for it.
+// applyList updates the endpoint table from a list, and returns the module's event for the update.
 func (e *Engine) applyList(list directory.List) policy.EndpointUpdate {
 	event := policy.EndpointUpdate{Complete: list.Complete}
 	present := map[policy.EndpointID]bool{}
@@ -47,18 +47,18 @@
 	return event
 }
 
-// applyMember updates one endpoint of the table. It returns the module's entry for it; false if this node does not
-// call the endpoint.
+// applyMember updates one endpoint of the table and returns the module's entry for it. It returns false if this node does
+// not call the endpoint.
 func (e *Engine) applyMember(m directory.Member) (policy.Entry, bool) {
 	endpoint := e.endpoints[endpointID(m.ID)]
-	state, known := stateOf(m.Phase)
+	state, known := endpointState(m.Phase)
 	if !known {
-		e.deps.Log.Warn("discovery: unknown phase, nothing changes", "id", m.ID, "phase", m.Phase)
+		e.deps.Log.Warn("discovery: unknown phase, endpoint unchanged", "id", m.ID, "phase", m.Phase)
 		return e.unchangedEntry(endpoint, m)
 	}
 	if endpoint == nil && state != policy.Ready {
-		// An earlier process may have known that it drains, and the grace may be over: nothing is sent to an endpoint
-		// that is draining when it is first seen.
+		// Nothing is sent to an endpoint that is already draining in its first entry: an earlier process may have
+		// received the notice, and the drain grace may be over.
 		return policy.Entry{}, false
 	}
 	if endpoint == nil {
@@ -78,8 +78,8 @@
 	return e.entry(endpoint, state, m.Size), true
 }
 
-// stateOf returns the module's state for a phase; false for an unknown phase.
-func stateOf(phase string) (policy.EndpointState, bool) {
+// endpointState returns the module's state for a phase. It returns false for an unknown phase.
+func endpointState(phase string) (policy.EndpointState, bool) {
 	switch phase {
 	case directory.Active:
 		return policy.Ready, true
@@ -92,8 +92,8 @@
 	}
 }
 
-// unchangedEntry returns the entry of an endpoint whose new state is unknown: without an entry in a complete list the
-// module would take the endpoint for gone.
+// unchangedEntry returns an entry with the current state of an endpoint whose new phase is unknown. If a complete list
+// had no entry for the endpoint, the module would remove it.
 func (e *Engine) unchangedEntry(endpoint *trackedEndpoint, m directory.Member) (policy.Entry, bool) {
 	if endpoint == nil {
 		return policy.Entry{}, false
@@ -102,9 +102,9 @@
 	return e.entry(endpoint, endpoint.state(), m.Size), true
 }
 
-// trackMember adds an endpoint that is seen first. It returns nil if the endpoint is not valid.
+// trackMember adds a new endpoint to the table. It returns nil if the entry is invalid.
 func (e *Engine) trackMember(m directory.Member) *trackedEndpoint {
-	kind, zone, valid := e.numbers(m)
+	kind, zone, valid := e.kindAndZone(m)
 	if !valid {
 		e.deps.Log.Warn("discovery: invalid endpoint ignored", "id", m.ID, "kind", m.Kind, "zone", m.Zone, "dest", m.Destination)
 		return nil
@@ -113,7 +113,7 @@
 	return e.track(m, kind, zone, ownLimit)
 }
 
-// entry returns the module's entry for an endpoint with the rate limit of the directory's list, in calls a second.
+// entry returns the module's entry for an endpoint. The rate is its limit in the directory's list, in calls per second.
 func (e *Engine) entry(endpoint *trackedEndpoint, state policy.EndpointState, rate float64) policy.Entry {
 	return policy.Entry{
 		Endpoint: endpoint.ID, Destination: endpoint.Destination, Kind: int(endpoint.Kind), Zone: int(endpoint.Zone), State: state,
@@ -121,8 +121,9 @@
 	}
 }
 
-// setDraining closes an endpoint's gate to calls that the module sent before it knew that the endpoint drains. It
-// closes within the grace of the first notice, after the module has stopped sending.
+// setDraining schedules the closing of a draining endpoint's gate, or opens the gate again. The gate stops calls that
+// the module decided on before it received the drain notice. It closes after 3/4 of the drain grace, counted from the
+// first notice, when the module has stopped sending.
 func (e *Engine) setDraining(endpoint *trackedEndpoint, draining bool) {
 	if !draining {
 		endpoint.DrainGate.Reopen()
@@ -131,7 +132,7 @@
 	}
 }
 
-// publishEndpoints gives peers the endpoints in the directory's list.
+// publishEndpoints passes the endpoints in the directory's list to the observation sharer.
 func (e *Engine) publishEndpoints() {
 	if e.deps.Observations == nil {
 		return
@@ -145,8 +146,8 @@
 	e.deps.Observations.SetEndpoints(all)
 }
 
-// publishDestinations gives the admission the destinations that exist, if they have changed: those with an endpoint,
-// and those that had one within vacantRetention.
+// publishDestinations passes the existing destinations to the admission if they have changed. A destination exists if it
+// has an endpoint, or had one within vacantRetention.
 func (e *Engine) publishDestinations() {
 	if !e.destinationsChanged {
 		return
@@ -159,9 +160,12 @@
 	e.deps.Admission.SetDestinations(known, e.listComplete)
 }
 
-// evict removes endpoints that are removed from the directory's list, with their connections, once no call is in
-// flight to them; destinations without an endpoint after vacantRetention, or when a Retry-After of theirs ends later;
-// and the history of an earlier process after healthRetention. Its cost follows the number of removed endpoints.
+// evict frees state that is no longer needed. Run calls it every evictInterval.
+//   - An endpoint removed from the directory's list is evicted, with its connections, once no call to it is in flight.
+//   - A destination without endpoints is evicted after vacantRetention, or at the end of its Retry-After if that is later.
+//   - The health history of an earlier process is dropped after healthRetention.
+//
+// Its cost is proportional to the number of removed endpoints and vacant destinations.
 func (e *Engine) evict(now time.Time) {
 	for id, endpoint := range e.departing {
 		if endpoint.inFlight == 0 {
@@ -173,7 +177,7 @@
 		}
 	}
 	for number, d := range e.vacant {
-		if d.endpoints == 0 && now.Sub(d.since) > vacantRetention && d.waits.IsOpen(now) {
+		if d.endpoints == 0 && now.Sub(d.since) > vacantRetention && d.retryAfterGate.IsOpen(now) {
 			delete(e.destinations, number)
 			delete(e.vacant, number)
 			e.destinationsChanged = true
--- a/internal/engine/endpoints.go
+++ b/internal/engine/endpoints.go
@@ -8,17 +8,17 @@
 	"wingmount/policy"
 )
 
-// trackedEndpoint is one address of a destination, and its state. There is one for each of many idle endpoints, so it
-// is kept small, as [egress.Endpoint] is.
+// trackedEndpoint is an endpoint of a destination and the engine's state for it. It is kept small, like
+// [egress.Endpoint], because a node tracks many idle endpoints.
 type trackedEndpoint struct {
 	egress.Endpoint
 	addr        string
-	lastOutcome policy.Time // 0 for never
-	inFlight    int32       // messages sent without an outcome
-	removed     bool        // from the directory's list
+	lastOutcome policy.Time // time of the last outcome; 0 for never
+	inFlight    int32       // number of messages sent that have no outcome yet
+	removed     bool        // removed from the directory's list
 }
 
-// state returns the state of an endpoint by the directory's list.
+// state returns the endpoint's state according to the directory's list.
 func (t *trackedEndpoint) state() policy.EndpointState {
 	if t.removed {
 		return policy.Removed
@@ -31,9 +31,9 @@
 
 // trackedDestination is the state of a destination.
 type trackedDestination struct {
-	endpoints int32 // that the engine tracks
-	present   int32 // those of them that are in the directory's list
-	waits     egress.Gate
+	endpoints      int32       // number of tracked endpoints
+	present        int32       // number of tracked endpoints that are in the directory's list
+	retryAfterGate egress.Gate // closed during a Retry-After; shared by endpoints without a gate of their own
 }
 
 // vacantDestination is a destination without an endpoint in the directory's list.
@@ -42,17 +42,17 @@
 	since time.Time
 }
 
-// endpointTable has the endpoints and destinations that the engine tracks.
+// endpointTable contains the endpoints and destinations that the engine tracks.
 type endpointTable struct {
-	kinds, zones map[string]int // numbers by the directory's names
+	kinds, zones map[string]int // the module's numbers, by the directory's names
 
 	endpoints    map[policy.EndpointID]*trackedEndpoint
-	departing    map[policy.EndpointID]*trackedEndpoint // removed ones, until no call is in flight to them
+	departing    map[policy.EndpointID]*trackedEndpoint // removed endpoints, until no call to them is in flight
 	destinations map[int]*trackedDestination
 	vacant       map[int]vacantDestination
 
 	listComplete bool // the directory has sent its complete list since this process started
-	// destinationsChanged is set while the admission has not been given the latest listComplete and destinations.
+	// destinationsChanged is set if destinations or listComplete have changed since they were passed to the admission.
 	destinationsChanged bool
 }
 
@@ -67,11 +67,11 @@
 	}
 }
 
-// endpointID returns the ID of an endpoint by its name: the same at all nodes, which refer to it among each other.
+// endpointID returns the ID for an endpoint's name. It is the same on all nodes, which exchange it.
 func endpointID(name string) policy.EndpointID { return policy.EndpointID(hash(name)) }
 
-// numbers returns the numbers of the kind and the zone of an endpoint; false if the endpoint is not valid.
-func (t *endpointTable) numbers(m directory.Member) (kind, zone int, valid bool) {
+// kindAndZone returns the numbers of an endpoint's kind and zone. It returns false if the entry is invalid.
+func (t *endpointTable) kindAndZone(m directory.Member) (kind, zone int, valid bool) {
 	kind, knownKind := t.kinds[m.Kind]
 	zone, knownZone := t.zones[m.Zone]
 	if !knownKind || !knownZone || kind > math.MaxUint16 || zone > math.MaxUint16 {
@@ -80,12 +80,12 @@
 	return kind, zone, m.ID != "" && m.Destination >= 0 && m.Destination <= math.MaxUint32
 }
 
-// track adds an endpoint of the directory's list. Its waits are its own if routes have limits of their own, and its
-// destination's otherwise.
+// track adds an endpoint of the directory's list. With ownLimit it gets its own Retry-After gate; otherwise it shares its
+// destination's gate.
 func (t *endpointTable) track(m directory.Member, kind, zone int, ownLimit bool) *trackedEndpoint {
 	id := endpointID(m.ID)
 	d := t.destination(m.Destination)
-	endpoint := &trackedEndpoint{Endpoint: egress.Endpoint{ID: id, Name: m.ID, Destination: m.Destination, Kind: uint16(kind), Zone: uint16(zone), RetryAfterGate: &d.waits}}
+	endpoint := &trackedEndpoint{Endpoint: egress.Endpoint{ID: id, Name: m.ID, Destination: m.Destination, Kind: uint16(kind), Zone: uint16(zone), RetryAfterGate: &d.retryAfterGate}}
 	if ownLimit {
 		endpoint.RetryAfterGate = &egress.Gate{}
 	}
@@ -96,7 +96,7 @@
 	return endpoint
 }
 
-// destination returns the state of a destination, which it creates where there is none.
+// destination returns the state of a destination, and creates it if necessary.
 func (t *endpointTable) destination(number int) *trackedDestination {
 	d := t.destinations[number]
 	if d == nil {
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -1,18 +1,18 @@
-// Package engine runs the decision module: it passes events to the module in the order of their arrival, and carries
-// out the actions that the module decides on.
+// Package engine runs the decision module (package policy): it passes events to the module in the order of their arrival,
+// and executes the actions that the module decides on.
 //
 // # Concurrency
 //
-// One goroutine, that of [Engine.Run], owns the module and all state of an [Engine]. It never waits for a disk or a
-// network: calls run in goroutines of the carrier, and final responses are persisted and announced by goroutines of
-// an responseWriter. Other goroutines only post events, see [Engine.Post], [Engine.SetAssignment] and
-// [Engine.SetLeaseInForce].
+// The goroutine of [Engine.Run] owns the module and all state of an [Engine]. It never waits for a disk or a network:
+// calls run in goroutines of the carrier, and final responses are persisted and announced in goroutines of a
+// responseWriter. Other goroutines only post events, see [Engine.Post], [Engine.SetAssignment] and
+// [Engine.SetLeaseValid].
 //
 // # Rounds
 //
-// The engine works in rounds. In a round it handles all events that have arrived (events.go), steps the module once, and
-// carries out its actions (step.go). A tick (policy.Settings.Tick) is the least time from one step to the next:
-// events that arrive within it are handled together. Once no call is started any more, rounds go without the step.
+// The engine works in rounds. In a round it handles all queued events (events.go), steps the module once, and executes
+// the module's actions (step.go). A tick (policy.Settings.Tick) is the minimum time between two steps: events that arrive
+// within a tick are handled together. While the engine is draining it starts no calls, and rounds omit the step.
 //
 // Start reading at [Engine.Run].
 package engine
@@ -28,11 +28,11 @@
 )
 
 const (
-	// clockStart is the module's time at the start. It is not 0, which means "never" to the module.
+	// clockStart is the module's time when the engine is created. It is not 0, because the module uses 0 for "never".
 	clockStart = time.Hour
-	// eventCapacity is how many events may wait for the engine. Post waits while there are more.
+	// eventCapacity is the capacity of the event queue. Post blocks while the queue is full.
 	eventCapacity = 4096
-	// evictInterval is how often the engine removes endpoints, destinations and connections that are not used any more.
+	// evictInterval is the interval between evictions of unused endpoints, destinations and connections.
 	evictInterval = time.Second
 )
 
@@ -45,33 +45,33 @@
 	logPeerMessage = "note"
 )
 
-// Engine runs the decision module.
+// Engine runs the decision module. Create one with [New], and call [Engine.Use] before [Engine.Run].
 type Engine struct {
 	deps           Dependencies
 	sender         *policy.Sender
 	settings       policy.Settings
 	responseMargin time.Duration // see Config
-	origin         time.Time     // when the module's time was clockStart
-	debug          bool          // the log takes debug messages, one for each message and call
+	origin         time.Time     // the wall clock time at which the module's time was clockStart
+	debug          bool          // debug logging is enabled: one line for each message and each call
 
 	events   chan Event
 	done     chan struct{} // closed when Run has returned
-	quiesced chan struct{} // closed when no call is started any more
-	draining bool          // no call is started any more
+	quiesced chan struct{} // closed when draining is set
+	draining bool          // Run starts no calls
 
-	messages map[policy.MessageID]*message.Message // unfinished ones
+	messages map[policy.MessageID]*message.Message // messages without a final response
 	endpointTable
 	quotas    assignedQuotas
-	responses *responseWriter // persists and announces what the module decided
+	responses *responseWriter // persists and announces the module's final responses
 
-	// The following slices are filled in a round, and empty between rounds.
+	// The following slices are filled in a round, and reset by its end.
 
-	batch        []policy.Event // for the module
-	actions      []policy.Action
-	observations []admission.Observation // for the admission
+	batch        []policy.Event          // input of the module's next step
+	actions      []policy.Action         // output of the module's step
+	observations []admission.Observation // not yet reported to the admission
 }
 
-// New returns an engine. Its dependencies are to be set by Use before Run.
+// New returns an engine without dependencies. Use sets them.
 func New(c Config) *Engine {
 	return &Engine{
 		sender:         policy.New(c.Settings, c.Seed),
@@ -87,7 +87,7 @@
 	}
 }
 
-// Use sets the dependencies of an engine. They may post events, so that they are made after it.
+// Use sets the dependencies of an engine, before Run. They are created after the engine because they post events to it.
 func (e *Engine) Use(d Dependencies) {
 	e.deps = d
 	if e.debug = d.Log.Enabled(context.Background(), slog.LevelDebug); e.debug {
@@ -102,10 +102,10 @@
 // now returns the module's time.
 func (e *Engine) now() policy.Time { return clockStart + time.Since(e.origin) }
 
-// moduleTime returns the module's time for one of the wall clock, now at the latest.
+// moduleTime converts a wall clock time to the module's time. It returns the current time for a time in the future.
 func (e *Engine) moduleTime(t time.Time) policy.Time { return min(e.now(), e.now()-time.Since(t)) }
 
-// Post queues an event. It waits while too many are queued, and does nothing once Run has returned.
+// Post queues an event for the next round. It blocks while the queue is full, and drops the event once Run has returned.
 func (e *Engine) Post(event Event) {
 	select {
 	case e.events <- event:
@@ -113,12 +113,12 @@
 	}
 }
 
-// Quiesced returns a channel that is closed when no call is started any more.
+// Quiesced returns a channel that is closed when the engine has stopped starting calls, see [Engine.Run].
 func (e *Engine) Quiesced() <-chan struct{} { return e.quiesced }
 
-// Run works in rounds until the context ends. Once drain is closed no call is started; outcomes of earlier calls are
-// handled still. When Run returns, the final responses that the module decided on are persisted, or the WriteContext
-// has ended.
+// Run works in rounds until the context is canceled. Once drain is closed, Run starts no calls, but still handles the
+// outcomes of earlier calls. When Run returns, the final responses that the module decided on have been persisted, or
+// the WriteContext has been canceled.
 func (e *Engine) Run(ctx context.Context, drain <-chan struct{}) {
 	defer e.responses.start()()
 	defer close(e.done)
@@ -173,8 +173,8 @@
 	}
 }
 
-// finishRound steps the module, unless no call is started any more. It returns the module's time at which the module wants
-// to be woken; 0 for never.
+// finishRound steps the module, unless the engine is draining. It returns the module's time for its next wake-up, 0 for
+// none.
 func (e *Engine) finishRound(ctx context.Context) (wakeAt policy.Time) {
 	if e.draining {
 		e.batch = e.batch[:0]
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -287,7 +287,7 @@
 		}
 		e.batch = e.batch[:0]
 	}
-	e.destinations[4].waits.CloseUntil(now.Add(vacantRetention + 2*time.Minute))
+	e.destinations[4].retryAfterGate.CloseUntil(now.Add(vacantRetention + 2*time.Minute))
 	updates := f.destinationUpdates
 	e.evict(now.Add(30 * time.Second))
 	if len(e.endpoints)+len(e.departing) != 0 || len(e.destinations) != 5 || len(e.deps.HealthHistory) != 1 || f.destinationUpdates != updates {
--- a/internal/engine/events.go
+++ b/internal/engine/events.go
@@ -12,23 +12,24 @@
 // Event is an event of the engine: [MessageAccepted], [EndpointsChanged], [HealthHistory], [CompletedAttempt],
 // [PolicyEvent] or an assignmentChanged.
 type Event interface {
-	// apply updates the engine, and adds what the module has to know to the batch. The engine's goroutine calls it.
+	// apply updates the engine, and appends the resulting events for the module to the batch. Only the engine's goroutine
+	// calls it.
 	apply(e *Engine)
 }
 
-// MessageAccepted is a message that is persisted, and to be delivered.
+// MessageAccepted reports a persisted message that has to be delivered.
 type MessageAccepted struct{ Message *message.Message }
 
-// EndpointsChanged is the directory's list of endpoints, or changes to it.
+// EndpointsChanged reports a complete endpoint list of the directory, or changes to it.
 type EndpointsChanged struct{ List directory.List }
 
-// CompletedAttempt is an attempt that has ended.
+// CompletedAttempt reports a completed attempt.
 type CompletedAttempt struct {
 	Attempt  policy.AttemptCompleted
-	StoreErr error // why the outcome was not persisted, nil if it was
+	StoreErr error // the error of persisting the outcome, nil if it was persisted
 }
 
-// PolicyEvent is any other event that is passed on to the module.
+// PolicyEvent is an event that is passed to the module unchanged.
 type PolicyEvent struct{ Event policy.Event }
 
 func (a MessageAccepted) apply(e *Engine) {
@@ -64,12 +65,12 @@
 		m.KeyWindow = class.DedupWindow
 	}
 	if class.Ordered && m.Key != "" {
-		a.Key = hash(m.Key) | 1 // not 0, which is no key to the module
+		a.Key = hash(m.Key) | 1 // never 0, which means no key to the module
 	}
 	return a
 }
 
-// observeAttempt updates the endpoint of an attempt, and reports how it ended to the admission and to peers.
+// observeAttempt updates the endpoint of a completed attempt, and reports the outcome to the admission and to peers.
 func (e *Engine) observeAttempt(completed policy.AttemptCompleted) {
 	endpoint := e.endpoints[completed.Endpoint]
 	if endpoint == nil {
@@ -86,8 +87,8 @@
 	e.reportCall(completed)
 }
 
-// handleCompletion removes a message that an attempt completes, and announces its final response. It does not if the
-// response is left to the next owner of the message, which may decide otherwise.
+// handleCompletion removes a message whose final attempt has completed, and announces its final response. The response is
+// not announced if it is left to the next owner of the message, which may decide on a different one.
 func (e *Engine) handleCompletion(a CompletedAttempt) {
 	m := e.messages[a.Attempt.Message]
 	if !a.Attempt.Final || m == nil {
@@ -97,25 +98,26 @@
 	if leftToNextOwner(e.deps.Store, a.StoreErr) {
 		return
 	}
-	if m.FinalResponse != nil && !m.FinalResponse.Implied { // the store sets it if deliveries are announced
+	if m.FinalResponse != nil && !m.FinalResponse.Implied { // the store sets FinalResponse if deliveries are announced
 		e.deps.Notifier.Add(m)
 	}
 }
 
-// reportCall reports to peers how a call ended. Some outcomes prove nothing about the endpoint and are left out: calls
-// that were rate-limited, cancelled or never sent, and idle connections that turned out to be closed.
+// reportCall reports the outcome of a call to peers. Outcomes that prove nothing about the endpoint's health are not
+// reported: calls that were rate-limited, cancelled or never sent, and resets of idle connections that the endpoint had
+// already closed.
 func (e *Engine) reportCall(completed policy.AttemptCompleted) {
 	if e.deps.Observations == nil {
 		return
 	}
 	switch completed.Outcome {
 	case policy.Delivered:
-		e.deps.Observations.Saw(completed.Endpoint, completed.Duration, true)
+		e.deps.Observations.RecordCall(completed.Endpoint, completed.Duration, true)
 	case policy.Failed, policy.TimedOut, policy.Unreachable:
-		e.deps.Observations.Saw(completed.Endpoint, completed.Duration, false)
+		e.deps.Observations.RecordCall(completed.Endpoint, completed.Duration, false)
 	case policy.Reset:
 		if !completed.StaleConnection {
-			e.deps.Observations.Saw(completed.Endpoint, completed.Duration, false)
+			e.deps.Observations.RecordCall(completed.Endpoint, completed.Duration, false)
 		}
 	}
 }
--- a/internal/engine/health.go
+++ b/internal/engine/health.go
@@ -6,11 +6,12 @@
 	"wingmount/policy"
 )
 
-// HealthHistory is what another node, or an earlier process, observed of endpoints, by name. As an event it is ignored
-// for endpoints that are not in the directory's list, for those that have completed a call of this node since, and for
-// those without a failure on record: their call times are dropped too.
+// HealthHistory is the health of endpoints, by name, as observed by another node or by an earlier process of this node.
 //
-// The engine owns the map once it is posted, or given by [Dependencies], and removes what it has used.
+// As an event, it is ignored for an endpoint that is not in the directory's list, that has completed a call of this node
+// since, or that has no recorded failure. The endpoint's call times are then ignored too.
+//
+// The engine owns the map once it is posted or passed in [Dependencies], and deletes the entries that it has used.
 type HealthHistory map[string]*store.EndpointHealth
 
 func (h HealthHistory) apply(e *Engine) {
@@ -22,8 +23,8 @@
 	e.restoreHealth(h)
 }
 
-// observedSince reports whether an endpoint has had an outcome here at the time given or later. It reports true for the
-// zero time, of an endpoint without a failure on record: only failures are adopted.
+// observedSince reports whether an endpoint has completed a call of this node at or after a time. It reports true for the
+// zero time, which means no recorded failure: only failures are adopted from other nodes.
 func (e *Engine) observedSince(endpoint *trackedEndpoint, at time.Time) bool {
 	if at.IsZero() {
 		return true
@@ -31,8 +32,8 @@
 	return endpoint.lastOutcome != 0 && endpoint.lastOutcome >= e.moduleTime(at)
 }
 
-// restoreHealth passes the history of known endpoints to the module, and removes it from h: the backlog must not go to
-// an endpoint that is unhealthy or in slow start, and recent calls count toward the rate limits.
+// restoreHealth passes the history of tracked endpoints to the module, and deletes it from h. The module needs it to keep
+// the backlog away from an endpoint that is unhealthy or in slow start, and to count recent calls toward the rate limits.
 func (e *Engine) restoreHealth(h HealthHistory) {
 	for name, health := range h {
 		id := endpointID(name)
--- a/internal/engine/responses.go
+++ b/internal/engine/responses.go
@@ -12,26 +12,27 @@
 )
 
 const (
-	// maxResponseBatch is how many final responses are persisted together at most.
+	// maxResponseBatch is the maximum number of final responses in one write.
 	maxResponseBatch = 256
-	// maxWriteOrderWait is how long a batch of final responses waits for the batch before it. A store that cannot be written
-	// may take its full timeout for each.
+	// maxWriteOrderWait is how long a batch of final responses waits for the previous batch. Without this bound, a store
+	// that is not writable would delay each batch by its full timeout.
 	maxWriteOrderWait = 20 * time.Millisecond
 )
 
-// Failure points where a crash matters: around the write of a final response.
+// Failure points for crashes before and after the write of a final response.
 var (
 	beforePersisted = failpoint.New("engine/before-end")
 	afterPersisted  = failpoint.New("engine/after-end")
 )
 
-// responseWriter persists final responses and then passes them to the notifier, in the order of the module's decisions
-// as long as the store keeps up. Its queue is bounded by the messages in flight: each has one final response.
+// responseWriter persists final responses and then passes them to the notifier. It keeps the order of the module's
+// decisions unless a write takes longer than maxWriteOrderWait. The queue is bounded by the number of messages in flight,
+// because each message has one final response.
 //
-// Its add is safe for concurrent use and never waits for the store. Goroutines of the writer write, and end with the
-// function that start returns.
+// The method add is safe for concurrent use and never waits for the store. The writes run in goroutines, which have
+// ended when the function returned by start returns.
 type responseWriter struct {
-	ctx      context.Context // of the writes
+	ctx      context.Context // bounds the writes
 	store    store.Store
 	notifier Notifier
 	log      *slog.Logger
@@ -39,9 +40,9 @@
 	mu     sync.Mutex
 	queue  []store.Completion
 	closed bool
-	queued sync.Cond // the queue has grown, or closed is set
+	queued sync.Cond // signals that the queue has grown or closed is set
 
-	writing sync.WaitGroup // batches being written
+	writing sync.WaitGroup // counts the batches that are being written
 }
 
 func newResponseWriter(ctx context.Context, s store.Store, n Notifier, log *slog.Logger) *responseWriter {
@@ -58,8 +59,8 @@
 	w.queued.Signal()
 }
 
-// start begins to write in the background. The function returned waits until everything queued is persisted, or the
-// context of the writes has ended.
+// start starts writing in the background. The function returned by start stops it: it waits until all queued responses
+// are persisted, or the context of the writes is canceled.
 func (w *responseWriter) start() (stop func()) {
 	done := make(chan struct{})
 	go func() {
@@ -78,7 +79,7 @@
 	}
 }
 
-// next waits for queued responses and returns a batch of them, nil once the queue is closed and empty.
+// next waits for queued responses and returns a batch of them. It returns nil if the queue is closed and empty.
 func (w *responseWriter) next() []store.Completion {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -96,7 +97,7 @@
 	return batch
 }
 
-// writeInOrder writes a batch, and returns when it is written or after maxWriteOrderWait.
+// writeInOrder starts the write of a batch. It returns when the batch is written, or after maxWriteOrderWait.
 func (w *responseWriter) writeInOrder(batch []store.Completion) {
 	written := make(chan struct{})
 	w.writing.Go(func() {
@@ -111,8 +112,9 @@
 	}
 }
 
-// leftToNextOwner reports whether a write of final responses that returned the error leaves them to the next owner of
-// their messages: the node is fenced, or other nodes share the store and read there what to decide.
+// leftToNextOwner reports whether final responses whose write returned err are left to the next owner of their messages.
+// This is so if the node is fenced, or if the write to a shared store failed: the next owner reads the messages there and
+// decides on their responses.
 func leftToNextOwner(s store.Store, err error) bool {
 	_, shared := s.(store.Shared)
 	return errors.Is(err, store.ErrFenced) || shared && err != nil
@@ -120,26 +122,26 @@
 
 // write persists a batch and passes it to the notifier.
 func (w *responseWriter) write(batch []store.Completion) {
-	_ = beforePersisted.At() // the error is ignored: the module has decided
-	// Without a deadline of its own: what the module decided is written, however long the store can't be.
+	_ = beforePersisted.At() // ignored: the module's decision is final
+	// The write has no deadline of its own: the module's decisions are written however long the store is not writable.
 	err := w.store.Complete(w.ctx, batch...)
 	if errors.Is(err, store.ErrFenced) {
-		w.log.Warn("store: final responses left to the node that has taken over", "responses", len(batch))
+		w.log.Warn("store: node is fenced, final responses left to the next owner of the messages", "responses", len(batch))
 		return
 	}
 	if leftToNextOwner(w.store, err) || err != nil && w.ctx.Err() != nil {
-		w.log.Error("store: final responses left to the next owner of the messages", "responses", len(batch), "err", err)
+		w.log.Error("store: writing final responses failed, left to the next owner of the messages", "responses", len(batch), "err", err)
 		return
 	}
 	if err != nil {
-		// They are announced all the same, since clients wait. After a restart they are announced again.
-		w.log.Error("store: writing final responses", "responses", len(batch), "err", err)
+		// The responses are announced anyway, because clients wait for them. They are announced again after a restart.
+		w.log.Error("store: writing final responses failed, announcing them anyway", "responses", len(batch), "err", err)
 	}
 	_ = afterPersisted.At()
 	for _, e := range batch {
-		// A message whose delivery was persisted meanwhile keeps that response, and is announced with it by the engine.
-		// An implied response has been announced by the store.
-		if end := e.Message.FinalResponse; end != nil && !end.Implied {
+		// If a delivery was persisted in the meantime, the message keeps that response, and the engine announces it. The
+		// store has already announced an implied response.
+		if response := e.Message.FinalResponse; response != nil && !response.Implied {
 			w.notifier.Add(e.Message)
 		}
 	}
--- a/internal/engine/step.go
+++ b/internal/engine/step.go
@@ -10,8 +10,8 @@
 	"wingmount/policy"
 )
 
-// step passes the batch to the module and carries out its actions. It returns the module's time at which the module wants
-// to be woken; 0 for never.
+// step passes the batch to the module and executes its actions. It returns the module's time for its next wake-up, 0 for
+// none.
 func (e *Engine) step(ctx context.Context) (wakeAt policy.Time) {
 	now := e.now()
 	e.actions = e.sender.Step(now, e.batch, e.actions[:0])
@@ -26,7 +26,7 @@
 	return wakeAt
 }
 
-// execute carries out actions of the module, calls last.
+// execute executes actions of the module. It starts calls after all other actions.
 func (e *Engine) execute(ctx context.Context, actions []policy.Action) (wakeAt policy.Time) {
 	calls := callBuilder{open: map[policy.EndpointID]*egress.Call{}}
 	for _, a := range actions {
@@ -44,7 +44,7 @@
 		case policy.NotifyPeers:
 			e.notifyPeers(a)
 		case policy.Subscribe:
-			// Nothing is to do: platform.Discovery follows the directory's list whatever the module asks.
+			// Ignored: platform.Discovery always follows the directory's list.
 		case policy.Wake:
 			wakeAt = a.At
 		}
@@ -58,13 +58,13 @@
 	return wakeAt
 }
 
-// callBuilder collects the calls of one step: messages to one endpoint share a call.
+// callBuilder builds the calls of one step. Messages to the same endpoint share a call.
 type callBuilder struct {
 	all  []*egress.Call
-	open map[policy.EndpointID]*egress.Call // with room for one more message, by endpoint
+	open map[policy.EndpointID]*egress.Call // the latest call to each endpoint, which may have room for more messages
 }
 
-// add adds a message to the open call of an endpoint, which takes maxBatch messages at most, or to a new call.
+// add adds a message to the open call of an endpoint, or to a new call if the open call has maxBatch messages.
 func (b *callBuilder) add(endpoint *trackedEndpoint, maxBatch int, m *message.Message, timeout time.Duration) {
 	call := b.open[endpoint.ID]
 	if call == nil || len(call.Parts) >= maxBatch {
@@ -75,7 +75,7 @@
 	call.Add(m, timeout)
 }
 
-// send adds a message to a call.
+// send adds the message of a Send action to a call.
 func (e *Engine) send(calls *callBuilder, s policy.Send) {
 	endpoint := e.endpoints[s.Endpoint]
 	calls.add(endpoint, e.maxBatch(endpoint), e.messages[s.Message], s.Timeout)
@@ -83,7 +83,7 @@
 	e.observations = append(e.observations, admission.Observation{Kind: admission.CallStarted, Destination: endpoint.Destination})
 }
 
-// maxBatch returns how many messages a call to an endpoint may have.
+// maxBatch returns the maximum number of messages in a call to an endpoint.
 func (e *Engine) maxBatch(endpoint *trackedEndpoint) int {
 	if int(endpoint.Kind) < len(e.settings.Kinds) {
 		return e.settings.Kinds[endpoint.Kind].MaxBatch
@@ -101,7 +101,7 @@
 	e.deps.PeerMessages.Send(n)
 }
 
-// complete gives a message its final response, which is persisted before it is announced.
+// complete removes a message and queues its final response, which is persisted before it is announced.
 func (e *Engine) complete(id policy.MessageID, kind message.ResponseKind, retryAfter time.Duration) {
 	m := e.messages[id]
 	if m == nil {
@@ -112,13 +112,13 @@
 	e.responses.add(store.Completion{Message: m, Response: message.FinalResponse{Kind: kind, RetryAfter: retryAfter}})
 }
 
-// remove removes a message that has its final response.
+// remove removes a message that has a final response, and records its completion for the admission.
 func (e *Engine) remove(m *message.Message) {
 	delete(e.messages, m.Seq)
 	e.observations = append(e.observations, admission.Observation{Kind: admission.MessageCompleted, Destination: m.Destination, Class: m.Class, MessageID: m.ID})
 }
 
-// reportObservations gives the admission what was observed since the last report.
+// reportObservations reports the observations since the last report to the admission.
 func (e *Engine) reportObservations() {
 	if len(e.observations) > 0 {
 		e.deps.Admission.Observe(e.observations)
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -299,8 +299,8 @@
 	r := newTestCluster(t, 4)
 	r.together()
 	for i := range 3 {
-		r.nodes[i].Saw(1, ms, false)
-		r.nodes[i].Saw(1, ms, false)
+		r.nodes[i].RecordCall(1, ms, false)
+		r.nodes[i].RecordCall(1, ms, false)
 	}
 	testkit.Eventually(t, "the outage is known", func() bool {
 		effects := r.effects(3)
@@ -309,7 +309,7 @@
 	if s := r.nodes[3].Status(); !slices.Equal(s.Suspected, []string{"e1"}) {
 		t.Errorf("suspected %v", s.Suspected)
 	}
-	r.nodes[0].Saw(1, ms, true)
+	r.nodes[0].RecordCall(1, ms, true)
 	testkit.Eventually(t, "the return is known", func() bool {
 		effects := r.effects(3)
 		return len(effects) == 2 && effects[1] == policy.PeerMessage{Endpoint: 1, Event: policy.PeerSlowStart}
@@ -433,7 +433,7 @@
 	n := r.nodes[0]
 	r.stop(0)
 	for range maxPendingCalls + 10 {
-		n.Saw(1, ms, true)
+		n.RecordCall(1, ms, true)
 	}
 	if len(n.calls) != maxPendingCalls {
 		t.Errorf("%d wait", len(n.calls))
--- a/internal/gossip/node.go
+++ b/internal/gossip/node.go
@@ -200,8 +200,8 @@
 	n.endpoints = all
 }
 
-// Saw reports how a call of this node ended, and how long it took. It does not block.
-func (n *Node) Saw(id policy.EndpointID, took time.Duration, answered bool) {
+// RecordCall reports how a call of this node ended, and how long it took. It does not block.
+func (n *Node) RecordCall(id policy.EndpointID, took time.Duration, answered bool) {
 	now := n.now()
 	if atObserve.At() != nil {
 		answered = !answered
@@ -264,7 +264,7 @@
 		}
 		n.core.SetEndpoints(ids)
 	}
-	// It counts the ticks with a full queue. How many calls Saw has dropped since the last tick is not counted.
+	// It counts the ticks with a full queue. How many calls RecordCall has dropped since the last tick is not counted.
 	if len(calls) == maxPendingCalls {
 		n.counts["calls_left_out"]++
 	}
--- a/internal/node/assignment.go
+++ b/internal/node/assignment.go
@@ -45,7 +45,7 @@
 // assignableEngine is what an assignment needs of an engine.
 type assignableEngine interface {
 	SetAssignment(assignment engine.Assignment)
-	SetLeaseInForce(inForce bool)
+	SetLeaseValid(valid bool)
 }
 
 // assignment is a node's side of the assignment of destinations. It sets the node's quotas in the engine, decides which
@@ -203,7 +203,7 @@
 // leaseChanged sets whether calls may be made.
 func (a *assignment) leaseChanged(inForce bool) {
 	a.log.Info("assignment: lease", "in_force", inForce)
-	a.engine.SetLeaseInForce(inForce)
+	a.engine.SetLeaseValid(inForce)
 }
 
 // releaseCompleted releases completed destinations at intervals, until the context ends.
--- a/internal/node/assignment_test.go
+++ b/internal/node/assignment_test.go
@@ -84,7 +84,7 @@
 	f.endpoints = assignment.Endpoints
 }
 
-func (f *fakeEngine) SetLeaseInForce(inForce bool) { f.leaseInForce = inForce }
+func (f *fakeEngine) SetLeaseValid(valid bool) { f.leaseInForce = valid }
 
 func newTestAssignment() (*assignment, *fakeAgent, *fakeEngine) {
 	agent := &fakeAgent{inForce: true, assignments: map[placement.DestinationID]lease.Assignment{}}
