--- a/internal/inflight/registry.go
+++ b/internal/inflight/registry.go
@@ -1,14 +1,14 @@
-// Package inflight is the registry of the messages that a node has accepted, or is about to accept, and that
-// have no final response yet. It also has the destinations that exist, and decides whether one more message is
-// accepted, with the admission controller. All ingress servers share one [Registry].
+// Package inflight tracks a node's messages in flight: those that the node has accepted, or is about to accept, and that
+// have no final response yet. It decides with the admission controller whether a new message is accepted. It also
+// contains the set of existing destinations. All ingress servers share one [Registry].
 //
-// It guarantees that no message ID is in flight twice, and that it reserves capacity for no message beyond
-// [Config].Max. Adopted messages, see [Registry.Adopt], may exceed it.
+// A registry guarantees that no message ID is in flight twice, and that it makes no reservation beyond [Config].Max.
+// Adopted messages, see [Registry.Adopt], may exceed that maximum.
 //
 // # Concurrency
 //
-// A [Registry] is safe for concurrent use. The engine never waits for it: the engine's updates are queued without a
-// lock, and applied by the next caller that holds the lock, see updates.go.
+// A [Registry] is safe for concurrent use. The engine never waits for its lock: the engine's updates are queued without
+// the lock, and the next caller that holds the lock applies them, see updates.go.
 //
 // Start reading at [Registry.Reserve].
 package inflight
@@ -22,14 +22,14 @@
 	"wingmount/decide/admission"
 )
 
-// defaultRetryAfter is the delay for a rejected client where the admission controller gives none.
+// defaultRetryAfter is the retry delay of rejections that the admission controller does not decide.
 const defaultRetryAfter = time.Second
 
 // Config is the configuration of a registry.
 type Config struct {
 	// Max is the maximum number of messages in flight; 0 for no limit.
 	Max int
-	// Admission decides on each message as well, unless it is nil. The registry owns it.
+	// Admission is a controller that may reject messages, or nil. The registry owns it and calls it with its lock held.
 	Admission *admission.Controller
 }
 
@@ -38,29 +38,29 @@
 
 // The verdicts.
 const (
-	Reserved     Verdict = iota // it has a reservation, until it is released or has a final response
-	InProgress                  // it is accepted already and in flight
+	Reserved     Verdict = iota // the message has a reservation, until it is released or has a final response
+	InProgress                  // the message is already accepted and in flight
 	Duplicate                   // another request with the same ID has a reservation
 	NoCapacity                  // too many messages are in flight
-	TooLate                     // its destination would not reach it before its deadline
-	Saturated                   // the engine would not reach it before its deadline
-	ShuttingDown                // the node accepts no messages any more
+	TooLate                     // the message could not be sent to its destination before its deadline
+	Saturated                   // the engine could not process the message before its deadline
+	ShuttingDown                // the node no longer accepts messages
 )
 
-// Counts are numbers of requests, by verdict.
+// Counts contains the number of requests for each verdict.
 type Counts [ShuttingDown + 1]int
 
-// reservation is one message in flight.
+// reservation is the registry's entry for a message in flight.
 type reservation struct {
 	destination, class int
-	accepted           bool // persisted, not only reserved
+	accepted           bool // the message is persisted
 }
 
 // Registry is the set of messages in flight.
 type Registry struct {
 	max    int
 	origin time.Time
-	// updates is a stack of the batches that are not applied yet, the newest first.
+	// updates is a stack of the batches that are not applied yet, newest first. It is written without the lock.
 	updates atomic.Pointer[updateBatch]
 	rounds  engineRounds
 
@@ -68,10 +68,10 @@
 	admission    *admission.Controller
 	messages     map[string]reservation // by message ID
 	unfinished   map[int]int            // number of messages by destination, without zeros
-	destinations []uint32               // sorted; a slice, since it takes four bytes for an idle destination
-	complete     bool                   // the directory has sent all destinations since this process started
-	closing      bool
-	shuttingDown bool
+	destinations []uint32               // sorted; a slice, because it takes only 4 bytes for an idle destination
+	complete     bool                   // the directory has sent its complete list since this process started
+	closing      bool                   // each response is the last of its connection
+	shuttingDown bool                   // no message is accepted
 	counts       Counts
 }
 
@@ -80,7 +80,8 @@
 	return &Registry{max: c.Max, admission: c.Admission, origin: time.Now(), messages: map[string]reservation{}, unfinished: map[int]int{}}
 }
 
-// lock locks the registry and applies the engine's updates. It returns the time for the controller.
+// lock locks the registry and applies the engine's queued updates. It returns the time since the registry's origin, which
+// is the admission controller's time.
 func (r *Registry) lock() time.Duration {
 	r.mu.Lock()
 	now := r.applyUpdates()
@@ -90,8 +91,8 @@
 	return now
 }
 
-// Reserve requests a reservation for a message that has timeLeft until its deadline. The duration returned is the
-// delay after which its client may retry, 0 for [Reserved], [InProgress] and [Duplicate].
+// Reserve requests a reservation for a message with timeLeft until its deadline. The duration returned is the delay after
+// which the client may retry. It is 0 for [Reserved], [InProgress] and [Duplicate].
 func (r *Registry) Reserve(id string, destination, class int, timeLeft time.Duration) (Verdict, time.Duration) {
 	now := r.lock()
 	defer r.mu.Unlock()
@@ -100,11 +101,12 @@
 	return v, retry
 }
 
-// reserve decides on a request. The rules, in order: a message in flight is not accepted twice; a node that shuts down
-// accepts none; no more than max are in flight; then those of the admission controller. The caller holds the lock.
+// reserve decides on a request for a reservation. It rejects, in this order: a message that is already in flight, any
+// message during shutdown, a message beyond max, and a message that the admission controller rejects. The caller holds
+// the lock.
 func (r *Registry) reserve(now time.Duration, id string, destination, class int, timeLeft time.Duration) (Verdict, time.Duration) {
-	if at, known := r.messages[id]; known {
-		if at.accepted {
+	if entry, known := r.messages[id]; known {
+		if entry.accepted {
 			return InProgress, 0
 		}
 		return Duplicate, 0
@@ -129,17 +131,17 @@
 	return Reserved, 0
 }
 
-// add registers a message, which must not be registered. The caller holds the lock.
-func (r *Registry) add(id string, at reservation) {
-	r.messages[id] = at
-	r.unfinished[at.destination]++
+// add adds a message that is not in the registry. The caller holds the lock.
+func (r *Registry) add(id string, entry reservation) {
+	r.messages[id] = entry
+	r.unfinished[entry.destination]++
 }
 
-// remove removes a message, which must be registered. The caller holds the lock.
-func (r *Registry) remove(id string, at reservation) {
+// remove removes a message that is in the registry. The caller holds the lock.
+func (r *Registry) remove(id string, entry reservation) {
 	delete(r.messages, id)
-	if r.unfinished[at.destination]--; r.unfinished[at.destination] == 0 {
-		delete(r.unfinished, at.destination)
+	if r.unfinished[entry.destination]--; r.unfinished[entry.destination] == 0 {
+		delete(r.unfinished, entry.destination)
 	}
 }
 
@@ -150,12 +152,13 @@
 	return r.unfinished[destination]
 }
 
-// Lookup reports whether a message is accepted and in flight, or has a reservation only.
+// Lookup reports whether a message in flight is accepted, or is only reserved. Both results are false if the message is
+// not in flight.
 func (r *Registry) Lookup(id string) (accepted, reserved bool) {
 	r.lock()
 	defer r.mu.Unlock()
-	at, ok := r.messages[id]
-	return at.accepted, ok && !at.accepted
+	entry, ok := r.messages[id]
+	return entry.accepted, ok && !entry.accepted
 }
 
 // Accepted reports whether a message is accepted and in flight.
@@ -165,44 +168,44 @@
 	return r.messages[id].accepted
 }
 
-// Accept marks a message with a reservation as accepted: it is persisted.
+// Accept marks a reserved message as accepted. The caller has persisted it.
 func (r *Registry) Accept(id string) {
 	r.lock()
 	defer r.mu.Unlock()
-	if at, ok := r.messages[id]; ok {
-		at.accepted = true
-		r.messages[id] = at
+	if entry, ok := r.messages[id]; ok {
+		entry.accepted = true
+		r.messages[id] = entry
 	}
 }
 
-// Adopt registers a persisted message that had no reservation, or whose reservation may have been released. It does
-// not check Config.Max: the message is persisted, and needs its final response.
+// Adopt adds a persisted message that had no reservation, or whose reservation may have been released. It does not check
+// Config.Max, because a persisted message must get a final response.
 func (r *Registry) Adopt(id string, destination, class int) {
 	now := r.lock()
 	defer r.mu.Unlock()
-	if at, ok := r.messages[id]; ok {
-		r.remove(id, at)
+	if entry, ok := r.messages[id]; ok {
+		r.remove(id, entry)
 	} else if r.admission != nil {
 		r.admission.Adopt(now, destination, class)
 	}
 	r.add(id, reservation{destination: destination, class: class, accepted: true})
 }
 
-// Release removes the reservation of a message, unless the message is accepted: a write that timed out may have
-// persisted it after all.
+// Release removes the reservation of a message. It does nothing if the message is accepted, because a write that timed
+// out may still have persisted the message.
 func (r *Registry) Release(id string) {
 	now := r.lock()
 	defer r.mu.Unlock()
-	if at, ok := r.messages[id]; ok && !at.accepted {
-		r.remove(id, at)
+	if entry, ok := r.messages[id]; ok && !entry.accepted {
+		r.remove(id, entry)
 		if r.admission != nil {
-			r.admission.Release(now, at.destination, at.class)
+			r.admission.Release(now, entry.destination, entry.class)
 		}
 	}
 }
 
-// HasDestination reports whether a destination exists, and whether that is certain: the directory has sent all
-// destinations since this process started.
+// HasDestination reports whether a destination exists. The result is certain if the directory has sent its complete list
+// since this process started.
 func (r *Registry) HasDestination(destination int) (exists, certain bool) {
 	r.lock()
 	defer r.mu.Unlock()
@@ -213,7 +216,7 @@
 	return exists, r.complete
 }
 
-// DestinationsKnown reports whether messages for unknown destinations can be recognized.
+// DestinationsKnown reports whether any list of destinations has arrived, so that unknown destinations can be detected.
 func (r *Registry) DestinationsKnown() bool {
 	r.lock()
 	defer r.mu.Unlock()
@@ -227,29 +230,30 @@
 	return len(r.messages)
 }
 
-// Counts returns the numbers of requests since the start, by verdict.
+// Counts returns the number of requests for each verdict since the registry was created.
 func (r *Registry) Counts() Counts {
 	r.lock()
 	defer r.mu.Unlock()
 	return r.counts
 }
 
-// Close makes each response the last of its connection; it closes nothing by itself. With shutDown the registry accepts
-// no message any more. A node that stops calls it twice: first without shutDown, while it still accepts messages.
+// Close makes Closing report true, so that ingress servers close each connection after its next response. With shutDown
+// the registry also rejects all new messages. A node that stops calls Close twice: first without shutDown, while it still
+// accepts messages.
 func (r *Registry) Close(shutDown bool) {
 	r.lock()
 	defer r.mu.Unlock()
 	r.closing, r.shuttingDown = true, shutDown
 }
 
-// Closing reports whether each response is the last of its connection.
+// Closing reports whether ingress servers must close each connection after its next response.
 func (r *Registry) Closing() bool {
 	r.lock()
 	defer r.mu.Unlock()
 	return r.closing
 }
 
-// ShuttingDown reports whether no message is accepted any more.
+// ShuttingDown reports whether the registry rejects all new messages.
 func (r *Registry) ShuttingDown() bool {
 	r.lock()
 	defer r.mu.Unlock()
--- a/internal/inflight/registry_test.go
+++ b/internal/inflight/registry_test.go
@@ -19,17 +19,20 @@
 	return all
 }
 
-func wantVerdict(t *testing.T, r *Registry, id string, v Verdict) time.Duration {
+// wantVerdict requests a reservation, checks its verdict and that only rejections have a retry delay, and returns the
+// delay.
+func wantVerdict(t *testing.T, r *Registry, id string, want Verdict) time.Duration {
 	t.Helper()
 	got, retry := r.Reserve(id, 7, 0, time.Minute)
-	if got != v || (retry > 0) != (v >= NoCapacity) {
-		t.Fatalf("%s: got verdict %d, retry after %v, want %d", id, got, retry, v)
+	if got != want || (retry > 0) != (want >= NoCapacity) {
+		t.Fatalf("%s: got verdict %d, retry after %v, want %d", id, got, retry, want)
 	}
 	return retry
 }
 
-// One ID has one reservation, from its request to its outcome. A registry without capacity rejects.
-func TestReservations(t *testing.T) {
+// A message ID has at most one reservation, from its request to its final response. A registry rejects requests beyond
+// its maximum.
+func TestReserveKnownIDOrNoCapacityIsRejected(t *testing.T) {
 	r := New(Config{Max: 2})
 	wantVerdict(t, r, "a", Reserved)
 	wantVerdict(t, r, "a", Duplicate)
@@ -37,24 +40,24 @@
 	wantVerdict(t, r, "a", InProgress)
 	wantVerdict(t, r, "b", Reserved)
 	wantVerdict(t, r, "c", NoCapacity)
-	r.Release("a") // accepted: it stays in flight
+	r.Release("a") // accepted, so it stays in flight
 	r.Release("b")
 	wantVerdict(t, r, "c", Reserved)
-	r.Adopt("late", 7, 0) // beyond the maximum: it is persisted
+	r.Adopt("adopted", 7, 0) // beyond the maximum, since it is persisted
 	if r.Count() != 3 {
-		t.Errorf("got %d in flight, want 3", r.Count())
+		t.Errorf("got %d messages in flight, want 3", r.Count())
 	}
-	r.Observe(completions("a", "late", "never"))
+	r.Observe(completions("a", "adopted", "unknown"))
 	wantVerdict(t, r, "a", Reserved)
 	r.Close(true)
 	wantVerdict(t, r, "d", ShuttingDown)
-	if got, sum := r.Counts(), (Counts{Reserved: 4, InProgress: 1, Duplicate: 1, NoCapacity: 1, ShuttingDown: 1}); got != sum {
-		t.Errorf("counts: got %v, want %v", got, sum)
+	if got, want := r.Counts(), (Counts{Reserved: 4, InProgress: 1, Duplicate: 1, NoCapacity: 1, ShuttingDown: 1}); got != want {
+		t.Errorf("counts: got %v, want %v", got, want)
 	}
 }
 
-// Destinations are found by numbers of 32 bits, and a number beyond them is none.
-func TestDestinations(t *testing.T) {
+// Destination numbers have 32 bits. A number out of that range does not match another destination by truncation.
+func TestHasDestinationOutOfRangeIsUnknown(t *testing.T) {
 	r := New(Config{})
 	r.SetDestinations(map[int]bool{0: true, 169_999: true, math.MaxUint32: true, 5: false}, true)
 	for number, want := range map[int]bool{0: true, 169_999: true, math.MaxUint32: true, 5: false, 6: false, -1: false, math.MaxUint32 + 1: false} {
@@ -64,8 +67,9 @@
 	}
 }
 
-// The engine never waits: updates that it queues while the lock is held are applied by the next caller that locks.
-func TestEngineNeverWaits(t *testing.T) {
+// The engine never waits for the registry's lock. The next caller that locks applies the updates that the engine queued
+// while the lock was held.
+func TestUpdatesWhileLockedAreAppliedByNextCaller(t *testing.T) {
 	r := New(Config{Max: 1})
 	wantVerdict(t, r, "a", Reserved)
 	r.mu.Lock()
@@ -73,23 +77,23 @@
 	go func() {
 		r.Observe(completions("a"))
 		r.SetDestinations(map[int]bool{7: true}, true)
-		r.SetDestinations(map[int]bool{8: true}, true) // the later one counts
+		r.SetDestinations(map[int]bool{8: true}, true) // replaces the previous set
 		close(done)
 	}()
 	select {
 	case <-done:
 	case <-time.After(testkit.EventuallyTimeout):
-		t.Fatal("the engine waits for the lock")
+		t.Fatal("Observe and SetDestinations block while the lock is held")
 	}
 	r.mu.Unlock()
 	if exists, certain := r.HasDestination(7); exists || !certain {
-		t.Error("got an older list of destinations, want the latest")
+		t.Error("got an outdated set of destinations, want the latest")
 	}
 	wantVerdict(t, r, "b", Reserved)
 }
 
-// The controller counts each message once, however its reservation was made and released.
-func TestControllerCounts(t *testing.T) {
+// The admission controller counts each message once, regardless of how the message was reserved, adopted or released.
+func TestAdmissionControllerCountsEachMessageOnce(t *testing.T) {
 	c := admission.New(admission.Settings{Weights: []float64{1}, Capacity: 100})
 	r := New(Config{Max: 100, Admission: c})
 	wantVerdict(t, r, "a", Reserved)
@@ -101,85 +105,86 @@
 	r.Observe([]admission.Observation{{Kind: admission.CallStarted, Destination: 7}, {Kind: admission.CallCompleted, Destination: 7, Outcome: policy.Delivered}})
 	r.Observe(completions("a", "a", "c"))
 	if r.Count() != 1 || c.InFlight() != 1 {
-		t.Errorf("got %d in flight, %d counted by the controller, want 1", r.Count(), c.InFlight())
+		t.Errorf("got %d messages in flight, %d counted by the controller, want 1 and 1", r.Count(), c.InFlight())
 	}
 	r.Observe([]admission.Observation{{Kind: admission.CallCompleted, Destination: 7, Outcome: policy.RateLimited, RetryAfter: time.Minute}})
 	if v, retry := r.Reserve("d", 7, 0, 20*time.Second); v != TooLate || retry < 20*time.Second {
-		t.Errorf("for a destination closed for a minute: got verdict %d, retry after %v, want TooLate after 20s or more", v, retry)
+		t.Errorf("destination with a Retry-After of 1m: got verdict %d, retry after %v, want TooLate, 20s or more", v, retry)
 	}
 	wantVerdict(t, r, "b", InProgress)
 }
 
-// Fronts and the engine at once: no reservation is lost and none is given twice.
-func TestConcurrentUse(t *testing.T) {
-	const clients, each, capacity = 16, 300, 50
+// Ingress servers and the engine use a registry concurrently. Guards against lost reservations, and against reservations
+// beyond the maximum.
+func TestConcurrentUseKeepsReservations(t *testing.T) {
+	const clients, requests, capacity = 16, 300, 50
 	c := admission.New(admission.Settings{Weights: []float64{1}})
 	r := New(Config{Max: capacity, Admission: c})
-	var fronts, engine sync.WaitGroup
-	completed := make(chan string, clients*each)
+	var ingress, engine sync.WaitGroup
+	completed := make(chan string, clients*requests)
 	engine.Go(func() {
 		for id := range completed {
 			r.Observe(completions(id))
 		}
 	})
 	for i := range clients {
-		fronts.Go(func() {
-			for k := range each {
-				id := fmt.Sprint(i%4, "-", k) // four clients submit the same message
+		ingress.Go(func() {
+			for k := range requests {
+				id := fmt.Sprint(i%4, "-", k) // the same messages from 4 clients each
 				switch v, _ := r.Reserve(id, 7, 0, time.Minute); v {
 				case Reserved:
 					if n := r.Count(); n > capacity {
-						t.Errorf("got %d in flight, want %d at most", n, capacity)
+						t.Errorf("got %d messages in flight, want at most %d", n, capacity)
 					}
 					r.Accept(id)
 					completed <- id
 				case InProgress, Duplicate, NoCapacity:
 				default:
-					t.Errorf("got verdict %d", v)
+					t.Errorf("got verdict %d, want Reserved, InProgress, Duplicate or NoCapacity", v)
 				}
 			}
 		})
 	}
-	fronts.Wait()
+	ingress.Wait()
 	close(completed)
 	engine.Wait()
 	if r.Count() != 0 || c.InFlight() != 0 {
-		t.Errorf("got %d in flight, %d counted by the controller, want none", r.Count(), c.InFlight())
+		t.Errorf("got %d messages in flight, %d counted by the controller, want 0 and 0", r.Count(), c.InFlight())
 	}
 }
 
-// A message is unfinished from its reservation to its outcome, for its own destination only, and is counted once.
-func TestUnfinished(t *testing.T) {
+// A message counts as unfinished once, only for its own destination, from its reservation to its final response.
+func TestUnfinishedCountsFromReservationToCompletion(t *testing.T) {
 	r := New(Config{})
-	unfinished := func(when string, want int) {
+	wantUnfinished := func(when string, want int) {
 		t.Helper()
 		if got := r.Unfinished(7); got != want {
 			t.Errorf("%s: got %d unfinished, want %d", when, got, want)
 		}
 	}
-	unfinished("at the start", 0)
+	wantUnfinished("without messages", 0)
 	r.Reserve("a", 7, 0, time.Second)
 	r.Reserve("a", 7, 0, time.Second)
 	r.Reserve("b", 7, 0, time.Second)
 	r.Reserve("c", 8, 0, time.Second)
-	unfinished("with two reservations", 2)
+	wantUnfinished("with two reservations", 2)
 	if accepted, reserved := r.Lookup("a"); accepted || !reserved {
-		t.Error("a reservation is not found as one")
+		t.Errorf("Lookup of a reserved message: got accepted %v, reserved %v, want false, true", accepted, reserved)
 	}
 	r.Release("b")
-	unfinished("with one released", 1)
+	wantUnfinished("after the release of one", 1)
 	r.Accept("a")
 	r.Adopt("a", 7, 0)
 	r.Release("a")
-	unfinished("with one accepted", 1)
+	wantUnfinished("with one accepted", 1)
 	if accepted, reserved := r.Lookup("a"); !accepted || reserved {
-		t.Error("an accepted message is not found as one")
+		t.Errorf("Lookup of an accepted message: got accepted %v, reserved %v, want true, false", accepted, reserved)
 	}
 	r.Adopt("d", 7, 0)
-	unfinished("with one adopted", 2)
+	wantUnfinished("with one accepted and one adopted", 2)
 	r.Observe([]admission.Observation{{Kind: admission.MessageCompleted, MessageID: "a"}, {Kind: admission.MessageCompleted, MessageID: "d"}, {Kind: admission.MessageCompleted, MessageID: "d"}})
-	unfinished("with all ended", 0)
+	wantUnfinished("after all completions", 0)
 	if accepted, reserved := r.Lookup("a"); accepted || reserved {
-		t.Error("a message that has ended is in flight")
+		t.Errorf("Lookup of a completed message: got accepted %v, reserved %v, want false, false", accepted, reserved)
 	}
 }
--- a/internal/inflight/updates.go
+++ b/internal/inflight/updates.go
@@ -6,21 +6,21 @@
 	"wingmount/decide/admission"
 )
 
-// updateBatch is what the engine reported with one call.
+// updateBatch is the update from one call of Observe or SetDestinations.
 type updateBatch struct {
 	observations []admission.Observation
-	destinations *destinationList // nil where they have not changed
-	previous     *updateBatch
+	destinations *destinationList // nil for no change
+	previous     *updateBatch     // the next older batch in the queue
 }
 
-// destinationList is which destinations exist.
+// destinationList is the set of existing destinations.
 type destinationList struct {
 	numbers  []uint32 // sorted
-	complete bool     // the directory has sent all since this process started
+	complete bool     // the directory has sent its complete list since this process started
 }
 
-// applyUpdates applies the queued batches, the oldest first, and returns the time since the registry's origin. The
-// caller holds the lock.
+// applyUpdates applies the queued batches, oldest first, and returns the time since the registry's origin. The caller
+// holds the lock.
 func (r *Registry) applyUpdates() time.Duration {
 	now := time.Since(r.origin)
 	var oldest *updateBatch
@@ -33,19 +33,20 @@
 	return now
 }
 
-// apply applies one batch. A final response counts once: of a message that is not in flight it is ignored.
+// apply applies one batch. It ignores the completion of a message that is not in flight, so that each completion counts
+// once.
 func (r *Registry) apply(now time.Duration, b *updateBatch) {
 	if list := b.destinations; list != nil {
 		r.destinations, r.complete = list.numbers, list.complete
 	}
 	for _, o := range b.observations {
 		if o.Kind == admission.MessageCompleted {
-			at, ok := r.messages[o.MessageID]
+			entry, ok := r.messages[o.MessageID]
 			if !ok {
 				continue
 			}
-			r.remove(o.MessageID, at)
-			o.Destination, o.Class = at.destination, at.class
+			r.remove(o.MessageID, entry)
+			o.Destination, o.Class = entry.destination, entry.class
 		}
 		if r.admission != nil {
 			r.admission.Observe(now, o)
@@ -53,7 +54,7 @@
 	}
 }
 
-// enqueue queues a batch, and applies it if the lock is free.
+// enqueue queues a batch, and applies the queue if the lock is free.
 func (r *Registry) enqueue(b *updateBatch) {
 	for {
 		b.previous = r.updates.Load()
@@ -67,15 +68,15 @@
 	}
 }
 
-// Observe reports what happened to messages and calls, in order. It never waits, and keeps the slice.
+// Observe reports observations of messages and calls, in order. It does not block, and takes ownership of the slice.
 func (r *Registry) Observe(observations []admission.Observation) {
 	if len(observations) > 0 {
 		r.enqueue(&updateBatch{observations: observations})
 	}
 }
 
-// SetDestinations sets which destinations exist, and whether the directory has sent them all since this process
-// started. A number must fit into 32 bits. It never waits.
+// SetDestinations replaces the set of existing destinations. The set is complete if the directory has sent its complete
+// list since this process started. The numbers must fit into 32 bits. SetDestinations does not block.
 func (r *Registry) SetDestinations(destinations map[int]bool, complete bool) {
 	numbers := make([]uint32, 0, len(destinations))
 	for number, exists := range destinations {
--- a/internal/message/message.go
+++ b/internal/message/message.go
@@ -1,8 +1,8 @@
 // Package message defines a message, the history of its attempts, and its final response.
 //
-// It does no I/O. Its types are not safe for concurrent use: the store that has a message owns its History and
-// FinalResponse, the other fields do not change once a message is accepted. KeyWindow is the exception: the engine sets
-// it from the class before the first attempt.
+// It does no I/O. Its types are not safe for concurrent use. The store that holds a message owns its History and
+// FinalResponse. The other fields do not change once the message is accepted, except KeyWindow, which the engine sets from
+// the class before the first attempt.
 //
 // Start reading at [Message] and [History].
 package message
@@ -28,7 +28,7 @@
 	Destination int              // number of the destination
 	Deadline    time.Time
 	Body        []byte        // MaxBodyLength bytes at most
-	KeyWindow   time.Duration // for how long the destination deduplicates by the key; 0 where it does not
+	KeyWindow   time.Duration // how long the destination deduplicates by key; 0 if it does not
 
 	// The store owns the following fields.
 
@@ -36,18 +36,18 @@
 	FinalResponse *FinalResponse // nil while the message is unfinished
 }
 
-// History is what was attempted for a message, as the decision module counts it.
+// History summarizes the attempts of a message for the decision module.
 type History struct {
 	Attempts            int
 	CompletedMayHaveRun bool      // a completed attempt may have run at the destination
 	Outstanding         bool      // the last attempt has no outcome yet
-	MayHaveRun          bool      // any attempt may have run at the destination, an outstanding one too
+	MayHaveRun          bool      // any attempt, completed or outstanding, may have run at the destination
 	RanAt               time.Time // when the first attempt that may have run was sent
-	RanZone             int       // the zone that it was sent to
+	RanZone             int       // the zone to which the first attempt that may have run was sent
 }
 
-// RecordAttempt counts an attempt that is about to be sent to a zone. An earlier attempt without an outcome was
-// interrupted by the end of a process: there is never more than one outstanding attempt.
+// RecordAttempt records an attempt that is about to be sent to a zone. At most one attempt is outstanding, so an earlier
+// attempt without an outcome was interrupted by the end of its process.
 func (h *History) RecordAttempt(zone int, at time.Time) {
 	h.RecordInterruption()
 	h.Attempts++
@@ -57,7 +57,7 @@
 	}
 }
 
-// RecordOutcome counts the outcome of the outstanding attempt.
+// RecordOutcome records the outcome of the outstanding attempt.
 func (h *History) RecordOutcome(o policy.Outcome) {
 	h.Outstanding = false
 	if !ProvesNotRun(o) {
@@ -67,23 +67,23 @@
 	}
 }
 
-// RecordInterruption completes the outstanding attempt, if there is one, without an outcome: it may have run, or may
-// run yet.
+// RecordInterruption completes the outstanding attempt, if any, without an outcome. The attempt may have run, or may
+// still run.
 func (h *History) RecordInterruption() {
 	if h.Outstanding {
 		h.Outstanding, h.CompletedMayHaveRun = false, true
 	}
 }
 
-// The bits of Flags. They are on disk.
+// The bits of Flags. Stores persist them.
 const (
 	flagCompletedMayHaveRun = 1 << iota
 	flagOutstanding
 	flagMayHaveRun
 )
 
-// Flags returns the booleans of a history as stores keep them: 1 for CompletedMayHaveRun, 2 for Outstanding and 4 for
-// MayHaveRun.
+// Flags returns the booleans of a history in their stored form, a sum of bits: 1 for CompletedMayHaveRun, 2 for
+// Outstanding and 4 for MayHaveRun.
 func (h *History) Flags() int64 {
 	flags := int64(0)
 	if h.CompletedMayHaveRun {
@@ -105,19 +105,19 @@
 	h.MayHaveRun = flags&flagMayHaveRun != 0
 }
 
-// KeyExpired reports whether a message that may have run must not be sent at the given time any more. The destination
-// deduplicates by a key for the window given: a message sent after it may run a second time. A window of 0 never
-// expires, since nothing deduplicates.
+// KeyExpired reports whether a message that may have run must no longer be sent at the given time. The destination
+// deduplicates by key only for the given window, so a message sent after the window may run a second time. A window of 0
+// never expires, because the destination does not deduplicate.
 func (h *History) KeyExpired(window time.Duration, at time.Time) bool {
 	return window > 0 && h.MayHaveRun && at.Sub(h.RanAt) >= window
 }
 
-// ProvesNotRun reports whether an outcome proves that the attempt has not run.
+// ProvesNotRun reports whether an outcome proves that the attempt did not run at the destination.
 func ProvesNotRun(o policy.Outcome) bool {
 	return o == policy.RateLimited || o == policy.Unreachable || o == policy.NotSent
 }
 
-// UnixMicros returns a time as stores keep it: in microseconds of Unix time, 0 for the zero time.
+// UnixMicros returns a time in its stored form: microseconds of Unix time, 0 for the zero time.
 func UnixMicros(t time.Time) int64 {
 	if t.IsZero() {
 		return 0
@@ -125,7 +125,7 @@
 	return t.UnixMicro()
 }
 
-// FromUnixMicros returns the time that UnixMicros made a number of.
+// FromUnixMicros returns the time for a result of UnixMicros.
 func FromUnixMicros(micros int64) time.Time {
 	if micros == 0 {
 		return time.Time{}
@@ -136,18 +136,18 @@
 // ResponseKind is the kind of a final response.
 type ResponseKind int
 
-// The kinds of final responses. Their numbers are on disk.
+// The kinds of final responses. Stores persist their numbers.
 const (
-	// Failed leaves open whether the message has had an effect.
+	// Failed means that the message may or may not have run at the destination.
 	Failed ResponseKind = iota
-	// Rejected guarantees that the client may submit the message again without it running twice.
+	// Rejected guarantees that the message does not run twice if the client submits it again.
 	Rejected
 	// Delivered confirms that the destination has accepted the message.
 	Delivered
 )
 
-// String returns the kind as the header X-Final, the gateway's notifications and stores' entries for operators spell it.
-// The platform's notifications have words of their own.
+// String returns the name of the kind in the X-Final header, in the gateway's notifications and in the stores' entries for
+// operators. The platform's notifications use other names.
 func (k ResponseKind) String() string {
 	switch k {
 	case Failed:
@@ -164,12 +164,12 @@
 type FinalResponse struct {
 	Kind       ResponseKind
 	RetryAfter time.Duration // for Rejected: the delay before the client may retry, or 0
-	// Implied is set if the store could not write the response in time and has handed it to the notifier already: any
-	// reader of the message's record comes to the same response.
+	// Implied is set if the store could not write the response in time and has already passed it to the notifier. This
+	// is safe because any reader of the message's record derives the same response.
 	Implied bool
 }
 
-// StoredResponse returns a final response from what stores keep of it: its kind, and the delay before a retry in
+// StoredResponse returns the final response for the values that stores persist: its kind, and the retry delay in
 // milliseconds.
 func StoredResponse(kind, retryAfterMs int64) *FinalResponse {
 	return &FinalResponse{Kind: ResponseKind(kind), RetryAfter: time.Duration(retryAfterMs) * time.Millisecond}
--- a/internal/message/message_test.go
+++ b/internal/message/message_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-// attempt is the model that histories are compared with: a list of attempts, each with an outcome or none.
+// attempt is one attempt of the reference model, which keeps all attempts instead of a summary.
 type attempt struct {
 	at        time.Time
 	zone      int
@@ -16,8 +16,8 @@
 	outcome   policy.Outcome
 }
 
-// mayHaveRun reports whether a message may have run, and by the first attempt sent when and where: one whose outcome
-// does not prove the contrary, or the outstanding one.
+// mayHaveRun reports whether any attempt may have run, and returns the time and the zone of the first one. An attempt may
+// have run unless its outcome proves that it did not.
 func mayHaveRun(attempts []attempt) (bool, time.Time, int) {
 	for _, a := range attempts {
 		if !a.completed || !ProvesNotRun(a.outcome) {
@@ -27,7 +27,9 @@
 	return false, time.Time{}, 0
 }
 
-func TestHistoryAgainstModel(t *testing.T) {
+// A history gives the same answers as the list of all attempts. Guards against a history that forgets an attempt that may
+// have run, which would allow the message to run twice.
+func TestHistoryMatchesListOfAttempts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var h History
 		var attempts []attempt
@@ -41,7 +43,7 @@
 			},
 			"outcome": func(t *rapid.T) {
 				if !h.Outstanding {
-					t.Skip("none is outstanding")
+					t.Skip("no attempt is outstanding")
 				}
 				o := policy.Outcome(rapid.IntRange(int(policy.Delivered), int(policy.NotSent)).Draw(t, "outcome"))
 				h.RecordOutcome(o)
@@ -53,7 +55,7 @@
 				var restored History
 				restored.SetFlags(h.Flags())
 				if restored.CompletedMayHaveRun != h.CompletedMayHaveRun || restored.Outstanding != h.Outstanding || restored.MayHaveRun != h.MayHaveRun {
-					t.Fatalf("flags of %+v: got %+v", h, restored)
+					t.Fatalf("history restored from flags: got %+v, want the flags of %+v", restored, h)
 				}
 			},
 			"": func(t *rapid.T) {
@@ -61,10 +63,10 @@
 				if h.MayHaveRun != may || h.Attempts != len(attempts) {
 					t.Fatalf("got %+v, want MayHaveRun %v with %d attempts", h, may, len(attempts))
 				}
-				// The time is that of the first attempt that may have run, or of an earlier one that has proved not to
-				// have run since: never later.
+				// RanAt is the time of the first attempt that may have run, or of an earlier attempt whose outcome proved
+				// later that it did not run. It is never after the first attempt that may have run.
 				if may && h.RanAt.After(from) {
-					t.Fatalf("RanAt: got %v, want %v at the latest", h.RanAt, from)
+					t.Fatalf("RanAt: got %v, want %v or earlier", h.RanAt, from)
 				}
 				if may && h.RanAt.Equal(from) && h.RanZone != zone {
 					t.Fatalf("RanZone: got %d, want %d", h.RanZone, zone)
@@ -80,7 +82,7 @@
 	})
 }
 
-func TestUnixMicros(t *testing.T) {
+func TestUnixMicrosRoundTrip(t *testing.T) {
 	for _, at := range []time.Time{{}, time.UnixMicro(1), time.UnixMicro(1_700_000_000_123_456)} {
 		if got := FromUnixMicros(UnixMicros(at)); !got.Equal(at) {
 			t.Errorf("got %v, want %v", got, at)
@@ -88,8 +90,8 @@
 	}
 }
 
-// The bits are on disk.
-func TestFlags(t *testing.T) {
+// Stores persist the bits of Flags, so they must not change.
+func TestFlagsHaveStoredBits(t *testing.T) {
 	for _, test := range []struct {
 		name    string
 		history History
