--- a/internal/estimate/doubling.go
+++ b/internal/estimate/doubling.go
@@ -2,25 +2,25 @@
 
 import "time"
 
-// Doubling is a span that doubles while something goes on, and starts anew when it has stopped for twice
-// the span. The zero Doubling has seen nothing.
-type Doubling struct {
+// Backoff is a time span that doubles with each repeated event, and is reset if no event occurs for twice the span. The
+// zero Backoff has observed no event.
+type Backoff struct {
 	Span time.Duration
-	at   time.Duration
+	at   time.Duration // time of the last counted event
 }
 
-// Again records that it continues, and reports whether that is a change: an event within half of the first span after
-// the last one that counted is the same event. The span is first, and most at most.
-func (d *Doubling) Again(now, first, most time.Duration) bool {
-	since := now - d.at
-	if d.Span > 0 && since < first/2 {
+// Observe records an event, and reports whether the event counts. An event less than initial/2 after the last counted
+// event belongs to that event and does not count. The span starts at initial, and grows to limit at most.
+func (b *Backoff) Observe(now, initial, limit time.Duration) bool {
+	since := now - b.at
+	if b.Span > 0 && since < initial/2 {
 		return false
 	}
-	if since < 2*d.Span {
-		d.Span = min(2*d.Span, most)
+	if since < 2*b.Span {
+		b.Span = min(2*b.Span, limit)
 	} else {
-		d.Span = first
+		b.Span = initial
 	}
-	d.at = now
+	b.at = now
 	return true
 }
--- a/internal/estimate/doubling_test.go
+++ b/internal/estimate/doubling_test.go
@@ -5,26 +5,28 @@
 	"time"
 )
 
-func TestDoubling(t *testing.T) {
-	const first, most = 2 * time.Second, 12 * time.Second
-	var d Doubling
+// The span doubles up to its limit while events repeat, ignores an event less than half of the initial span after the
+// last, and is reset exactly twice the span after the last event.
+func TestBackoffDoublesUntilEventsStop(t *testing.T) {
+	const initial, limit = 2 * time.Second, 12 * time.Second
+	var b Backoff
 	now := time.Duration(0)
 	for _, step := range []struct {
-		after  time.Duration
-		update bool
+		after  time.Duration // since the previous event
+		counts bool
 		span   time.Duration
 	}{
-		{0, true, first},
-		{first/2 - 1, false, first},
-		{1, true, 2 * first},
-		{first / 2, true, 4 * first},
-		{first, true, most},
-		{2*most - 1, true, most},
-		{2 * most, true, first},
+		{0, true, initial},
+		{initial/2 - 1, false, initial},
+		{1, true, 2 * initial},
+		{initial / 2, true, 4 * initial},
+		{initial, true, limit},
+		{2*limit - 1, true, limit},
+		{2 * limit, true, initial},
 	} {
 		now += step.after
-		if update := d.Again(now, first, most); update != step.update || d.Span != step.span {
-			t.Errorf("at %v: update %v for %v, want %v for %v", now, update, d.Span, step.update, step.span)
+		if counts := b.Observe(now, initial, limit); counts != step.counts || b.Span != step.span {
+			t.Errorf("at %v: got counted %v, span %v, want %v, %v", now, counts, b.Span, step.counts, step.span)
 		}
 	}
 }
--- a/internal/estimate/estimate.go
+++ b/internal/estimate/estimate.go
@@ -1,6 +1,5 @@
-// Package estimate has what the decision module learns by and reckons with: how long answers take,
-// how many calls something takes, and what value is left at an age. It does no I/O and reads no
-// clock.
+// Package estimate contains the estimators of the decision module: response latency, the rate of successful calls, the
+// value of a message at an age, and delays with backoff and jitter. It does no I/O and reads no clock.
 package estimate
 
 import (
@@ -15,52 +14,54 @@
 	Gain = 0.2
 	// SlowGain is the weight of a new value in a slow baseline.
 	SlowGain = 0.02
-	// The best of the windows of a day is about so many deviations over the mean.
+	// peakDeviations is the distance of a day's best window from the mean, in standard deviations.
 	peakDeviations = 2
-	// Of fewer passes in a window than these in the mean the best is more than that.
-	fewPasses = 2
-	// A ratio of one answer to the mean counts within these bounds.
-	leastRatio, mostRatio = 0.2, 5
+	// minWindowSuccesses is the lowest mean number of successes per window for which peakDeviations holds. With a lower
+	// mean the best window is further above the mean.
+	minWindowSuccesses = 2
+	// minRatio and maxRatio bound the ratio of one response's latency to the mean.
+	minRatio, maxRatio = 0.2, 5
 )
 
-// Latency is how long answers take, as moving averages.
+// Latency estimates the latency of responses by moving averages.
 type Latency struct {
-	Mean      time.Duration
-	Deviation time.Duration // the mean distance of an answer from the mean
-	Baseline  time.Duration // the mean of long ago, 0 before anything was seen
-	seen      bool
+	Mean      time.Duration // set it to an initial estimate
+	Deviation time.Duration // mean absolute deviation from Mean
+	Baseline  time.Duration // slow moving average, 0 before the first response
+	observed  bool
 }
 
-// Observe takes in an answer. It returns how long that took beside the mean, within bounds; the
-// first response has little weight: half of it is what Mean was set to, and it has no ratio.
-func (l *Latency) Observe(took time.Duration) (ratio float64, ok bool) {
-	if !l.seen {
-		took = (took + l.Mean) / 2
-		l.Mean, l.Baseline, l.Deviation, l.seen = took, took, took, true
+// Observe records the latency of a response. It returns the ratio of the latency to the mean, limited to minRatio and
+// maxRatio. The first response has no ratio, and only half of its latency counts: the averages start at the mean of it and
+// the initial Mean.
+func (l *Latency) Observe(latency time.Duration) (ratio float64, ok bool) {
+	if !l.observed {
+		latency = (latency + l.Mean) / 2
+		l.Mean, l.Baseline, l.Deviation, l.observed = latency, latency, latency, true
 		return 0, false
 	}
-	ratio = min(mostRatio, max(leastRatio, float64(took)/float64(l.Mean)))
-	l.Deviation += time.Duration((math.Abs(float64(took-l.Mean)) - float64(l.Deviation)) * Gain)
-	l.Mean += time.Duration(float64(took-l.Mean) * Gain)
-	l.Baseline += time.Duration(float64(took-l.Baseline) * SlowGain)
+	ratio = min(maxRatio, max(minRatio, float64(latency)/float64(l.Mean)))
+	l.Deviation += time.Duration((math.Abs(float64(latency-l.Mean)) - float64(l.Deviation)) * Gain)
+	l.Mean += time.Duration(float64(latency-l.Mean) * Gain)
+	l.Baseline += time.Duration(float64(latency-l.Baseline) * SlowGain)
 	return ratio, true
 }
 
-// Slow reports whether responses take more than so many times as long as they used to.
-func (l *Latency) Slow(times float64) bool {
-	return l.Baseline > 0 && float64(l.Mean) > times*float64(l.Baseline)
+// Slow reports whether the mean latency exceeds the baseline by more than a factor.
+func (l *Latency) Slow(factor float64) bool {
+	return l.Baseline > 0 && float64(l.Mean) > factor*float64(l.Baseline)
 }
 
-// WarmUpFactor returns the fraction of its capacity that something has at an age since its return, if that rises
-// evenly from the initial fraction to all of it within a time: 1 if that time is 0.
-func WarmUpFactor(age, over time.Duration, initial float64) float64 {
-	if over <= 0 {
+// WarmUpFactor returns the available fraction of the capacity at an age since recovery. The fraction rises linearly from
+// initial to 1 over the warm-up time. It is 1 if the warm-up time is 0.
+func WarmUpFactor(age, warmUp time.Duration, initial float64) float64 {
+	if warmUp <= 0 {
 		return 1
 	}
-	return min(1, initial+(1-initial)*float64(age)/float64(over))
+	return min(1, initial+(1-initial)*float64(age)/float64(warmUp))
 }
 
-// Jitter is a random time below d, 0 where that is not above 0.
+// Jitter returns a random duration from 0 up to, but not including, d. It returns 0 if d is not positive.
 func Jitter(rng *rand.Rand, d time.Duration) time.Duration {
 	if d <= 0 {
 		return 0
@@ -68,67 +69,73 @@
 	return time.Duration(rng.Int64N(int64(d)))
 }
 
-// Rate is the rate of successful calls of one of several senders.
+// Rate estimates the rate of successful calls of one of several senders to a destination.
 type Rate struct {
-	Window container.Window // of the passes of late
-	Passes int              // so far
-	Peak   int              // the most within the window that there ever were
+	Window container.Window // times of recent successes
+	Total  int              // number of successes so far
+	Peak   int              // highest number of successes within a window so far
 }
 
-// Pass records a successful call.
-func (r *Rate) Pass(now time.Duration) {
-	r.Passes++
+// Record records a successful call.
+func (r *Rate) Record(now time.Duration) {
+	r.Total++
 	r.Window.Record(now)
 	r.Peak = max(r.Peak, r.Window.Count(now))
 }
 
-// Own returns how many calls a second of this sender succeeded over a time, such that the rates of all senders sum up to
-// that of the destination: its mean, or its best window less what is chance in it. The best
-// windows of many do not fall together: each is so many deviations over its mean, all together 1
-// over the root of their number of that.
-func (r *Rate) Own(over time.Duration, senders int) float64 {
+// SenderShare returns the rate of this sender's successful calls, in calls per second, after it has sent for the elapsed
+// time. The shares of all senders add up to the destination's rate.
+//
+// The share is the mean rate, or the rate of the best window less the excess that is due to chance if that is higher. The
+// best window of one sender is peakDeviations standard deviations above its mean. The best windows of different senders
+// are at different times, so the excess of all n senders together is only 1/sqrt(n) of the sum of their excesses.
+func (r *Rate) SenderShare(elapsed time.Duration, senders int) float64 {
 	span := r.Window.Span
-	mean := float64(r.Passes) / max(span, over).Seconds()
-	apart := 1 - 1/math.Sqrt(float64(senders))
-	chance := peakDeviations * apart * math.Sqrt(max(fewPasses, mean*span.Seconds()))
+	mean := float64(r.Total) / max(span, elapsed).Seconds()
+	chanceFraction := 1 - 1/math.Sqrt(float64(senders))
+	chance := peakDeviations * chanceFraction * math.Sqrt(max(minWindowSuccesses, mean*span.Seconds()))
 	return max(mean, (float64(r.Peak)-chance)/span.Seconds())
 }
 
-// Value is what a message earns when it is delivered at an age: Full until Aim, then less and less
-// until the share Late at Deadline, and nothing from there on.
+// Value is the value of delivering a message, as a function of the message's age. It is Full until SoftDeadline, then
+// falls to no less than the fraction LateFraction of Full, and is 0 from Deadline on.
 type Value struct {
-	Aim, Deadline time.Duration
-	Full, Late    float64
-	Halves        bool // it halves with each further aim, down to Late, instead of falling evenly
+	SoftDeadline, Deadline time.Duration
+	Full, LateFraction     float64
+	// Halves selects an exponential fall: the value halves with each further SoftDeadline of age, down to LateFraction
+	// of Full. Otherwise the value falls linearly.
+	Halves bool
 }
 
-// At is the value at an age.
-func (w *Value) At(age time.Duration) float64 {
+// At returns the value at an age.
+func (v *Value) At(age time.Duration) float64 {
+	late := float64(age - v.SoftDeadline)
 	switch {
-	case age >= w.Deadline:
+	case age >= v.Deadline:
 		return 0
-	case age <= w.Aim:
-		return w.Full
-	case w.Halves:
-		return w.Full * max(w.Late, math.Exp2(-float64(age-w.Aim)/float64(w.Aim)))
+	case age <= v.SoftDeadline:
+		return v.Full
+	case v.Halves:
+		return v.Full * max(v.LateFraction, math.Exp2(-late/float64(v.SoftDeadline)))
 	}
-	return w.Full * (1 - (1-w.Late)*float64(age-w.Aim)/float64(w.Deadline-w.Aim))
+	return v.Full * (1 - (1-v.LateFraction)*late/float64(v.Deadline-v.SoftDeadline))
 }
 
-// Bends are the ages at which the value changes its course. Between two of them the loss over any
-// one time, At(age) - At(age+time), is convex or rises, where neither age nor age+time passes one.
-func (w *Value) Bends() []time.Duration {
-	floor := w.Deadline // where value that halves ceases to fall
-	if w.Halves && w.Late > 0 {
-		floor = w.Aim + time.Duration(float64(w.Aim)*-math.Log2(w.Late))
+// Breakpoints returns the ages at which the formula of the value changes. The loss over an interval is
+// At(age) - At(age+interval). As long as neither age nor age+interval passes a breakpoint, the loss is convex or rising.
+func (v *Value) Breakpoints() []time.Duration {
+	floor := v.Deadline // age at which an exponential fall reaches LateFraction
+	if v.Halves && v.LateFraction > 0 {
+		floor = v.SoftDeadline + time.Duration(float64(v.SoftDeadline)*-math.Log2(v.LateFraction))
 	}
-	return []time.Duration{w.Aim, floor, w.Deadline}
+	return []time.Duration{v.SoftDeadline, floor, v.Deadline}
 }
 
-// LossBends are the ages at which the loss over a time that begins later by a delay changes its course.
-func (w *Value) LossBends(delay, over time.Duration) (ages []time.Duration) {
-	for _, bend := range w.Bends() {
-		ages = append(ages, bend-delay, bend-delay-over)
+// LossBreakpoints returns the ages at which the formula of the loss over an interval changes, if the interval begins a
+// delay after the age.
+func (v *Value) LossBreakpoints(delay, interval time.Duration) (ages []time.Duration) {
+	for _, at := range v.Breakpoints() {
+		ages = append(ages, at-delay, at-delay-interval)
 	}
 	return ages
 }
--- a/policy/circuit.go
+++ b/policy/circuit.go
@@ -274,7 +274,7 @@
 
 // recordPathSuccess applies a success to the rate, the allotment and the latency of a path.
 func (s *Sender) recordPathSuccess(p *path, latency time.Duration) {
-	p.successes.Pass(s.now)
+	p.successes.Record(s.now)
 	s.slots.recordLatency(latency)
 	s.growAllotment(&p.limiter)
 	if ratio, known := p.latency.Observe(latency); known {
--- a/policy/ratelimit.go
+++ b/policy/ratelimit.go
@@ -71,8 +71,8 @@
 	jitter       float64          // random factor from 0.5 to 1.5 on the windows under a shared quota
 	blockedUntil Time             // by Retry-After or a pause
 
-	allotmentBeforeRejections float64           // the allotment before the latest rejections in a row, or 0
-	congestion                estimate.Doubling // observed congestion, and the maximum length of its pause
+	allotmentBeforeRejections float64          // the allotment before the latest rejections in a row, or 0
+	congestion                estimate.Backoff // observed congestion, and the maximum length of its pause
 
 	advertisedRatePerSender float64 // in calls a second, or 0
 	safeRate                float64 // the lower bound of this sender's advertised or assigned rate
@@ -299,7 +299,7 @@
 // first calls of all senders are enough to keep it exhausted. It returns whether this is a new observation
 // of congestion.
 func (s *Sender) pauseForCongestion(l *rateLimiter) bool {
-	isNew := l.congestion.Again(s.now, narrowWindow, wideWindow)
+	isNew := l.congestion.Observe(s.now, narrowWindow, wideWindow)
 	if isNew {
 		l.blockUntil(s.now + estimate.Jitter(s.rng, l.congestion.Span))
 	}
--- a/policy/schedule.go
+++ b/policy/schedule.go
@@ -131,7 +131,7 @@
 	}
 	latency := d.paths[0].latency.Mean
 	for class := range s.values {
-		ages := s.values[class].LossBends(latency, narrowWindow)
+		ages := s.values[class].LossBreakpoints(latency, narrowWindow)
 		ages = append(ages, s.values[class].Deadline/2+1) // see fitsProbe
 		d.queue.VisitByAge(class, s.now, n, add, ages...)
 	}
--- a/policy/sender.go
+++ b/policy/sender.go
@@ -65,8 +65,8 @@
 	for _, c := range settings.Classes {
 		s.maxMessageAge = max(s.maxMessageAge, c.Deadline)
 		s.values = append(s.values, estimate.Value{
-			Aim: c.SoftDeadline, Deadline: c.Deadline, Full: c.Value,
-			Late: c.LateValue, Halves: settings.HalvesLate,
+			SoftDeadline: c.SoftDeadline, Deadline: c.Deadline, Full: c.Value,
+			LateFraction: c.LateValue, Halves: settings.HalvesLate,
 		})
 	}
 	return s
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -80,5 +80,5 @@
 // ownRate returns the rate at which a path accepted calls of this sender, in calls a second. The rates of all
 // senders add up to the rate that the path accepted.
 func (s *Sender) ownRate(p *path) float64 {
-	return p.successes.Own(s.now-s.startedAt, s.settings.Senders)
+	return p.successes.SenderShare(s.now-s.startedAt, s.settings.Senders)
 }
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -268,7 +268,7 @@
 		h := newHarness(t, set, testDestination{endpoints: 1})
 		h.s.now = h.now + time.Minute
 		p := h.path()
-		p.successes.Peak, p.successes.Passes = c.peak, c.passes
+		p.successes.Peak, p.successes.Total = c.peak, c.passes
 		if mean, r := float64(c.passes)/60, h.s.ownRate(p); r < mean || r > c.most {
 			t.Errorf("%d senders, %d calls in the best window and %d in a minute: got rate %.2f, want %.2f to %.2f",
 				c.senders, c.peak, c.passes, r, mean, c.most)
--- a/policy/timeout.go
+++ b/policy/timeout.go
@@ -36,7 +36,7 @@
 func (s *Sender) attemptTimeout(e *endpoint, m *message, size int) time.Duration {
 	latency := &e.path.latency
 	deviation := max(latency.Deviation, latency.Mean/4)
-	if e.path.successes.Passes == 0 {
+	if e.path.successes.Total == 0 {
 		deviation = initialLatency
 	}
 	expected := float64(latency.Mean + timeoutDeviations*deviation)
