--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -1,7 +1,7 @@
-// Package directory defines the endpoint list: what the sources of endpoints (the platform, the
-// configuration, the control machine) send to the engine. Its JSON form is fixed by the platform.
+// Package directory defines the endpoint list that the sources of endpoints (the platform, the configuration, the control
+// machine) send to the engine. The platform defines its JSON form.
 //
-// A list is a plain value without locks: its sender must not change it after sending it.
+// A list has no locks. Its sender must not change it after sending it.
 //
 // Start reading at [List].
 package directory
@@ -15,10 +15,9 @@
 // List is a complete endpoint list, or the changes since an earlier one.
 type List struct {
 	Revision int64    `json:"revision"`
-	Complete bool     `json:"complete"` // endpoints that are missing were removed
+	Complete bool     `json:"complete"` // endpoints that are not in Members have been removed
 	Members  []Member `json:"members"`
-	// Live means that the directory sent the list to this incarnation of the node, as opposed
-	// to a list from a cache.
+	// Live is set if the directory sent the list to this process of the node, and clear for a list from a cache.
 	Live bool `json:"-"`
 }
 
@@ -27,8 +26,7 @@
 	Active   = "active"
 	Draining = "leaving" // completes its calls and accepts no new ones
 	Removed  = "left"    // only in lists of changes
-	// Unreadable is set here, and never sent, for an entry that can't be parsed. The endpoint
-	// stays as it was.
+	// Unreadable marks an entry that can't be parsed. It is set on receipt and never sent. The endpoint is unchanged.
 	Unreadable = "unreadable"
 )
 
@@ -36,18 +34,18 @@
 type Member struct {
 	ID          string  `json:"id"`        // the same on all nodes
 	HostPort    string  `json:"host_port"` // may differ between nodes
-	Zone        string  `json:"locality"`  // name of its availability zone
-	Kind        string  `json:"flavor"`    // name of its destination's kind
-	Destination int     `json:"cell"`      // number of its destination
+	Zone        string  `json:"locality"`  // name of the availability zone
+	Kind        string  `json:"flavor"`    // name of the destination's kind
+	Destination int     `json:"cell"`      // number of the destination
 	Phase       string  `json:"phase"`
-	Size        float64 `json:"size"` // rate in the list, in calls a second; see policy.Settings.Listing
+	Size        float64 `json:"size"` // rate limit in calls per second; see policy.Settings.Listing
 }
 
-// MaxPlatformDestination is the highest number of a destination in the platform's list.
+// MaxPlatformDestination is the highest destination number in the platform's list.
 const MaxPlatformDestination = math.MaxUint16
 
-// MarkOutOfRange sets the phase of each entry whose destination is not between 0 and highest to
-// [Unreadable], and returns an error with the position of each of them.
+// MarkOutOfRange sets the phase of each entry whose destination is not between 0 and highest to [Unreadable]. It returns
+// an error with the position in the list for each such entry.
 func (l *List) MarkOutOfRange(highest int) (errs []error) {
 	for i := range l.Members {
 		m := &l.Members[i]
@@ -60,9 +58,9 @@
 	return errs
 }
 
-// UnmarshalJSON parses a list. An entry that can't be parsed does not fail the list, because a
-// drain of another endpoint may be in it: the entry gets the phase [Unreadable] and keeps its ID,
-// or gets its position as ID if it has none.
+// UnmarshalJSON parses a list. An entry that can't be parsed is not an error for the whole list, which may announce the
+// drain of another endpoint. Such an entry gets the phase [Unreadable], and keeps its ID if the ID can be parsed;
+// otherwise its position in the list becomes its ID.
 func (l *List) UnmarshalJSON(text []byte) error {
 	var list struct {
 		Revision int64
@@ -83,10 +81,10 @@
 	return nil
 }
 
-// entryID returns the ID in an entry that can't be parsed, or its position in the list.
+// entryID returns the ID of an entry that can't be parsed, or its position in the list if the ID can't be parsed either.
 func entryID(entry []byte, position int) string {
 	var named struct{ ID any }
-	_ = json.Unmarshal(entry, &named) // on an error there is no ID
+	_ = json.Unmarshal(entry, &named) // on an error the ID stays empty
 	if id, _ := named.ID.(string); id != "" {
 		return id
 	}
--- a/internal/directory/directory_test.go
+++ b/internal/directory/directory_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// An entry that can't be parsed does not affect the others.
-func TestUnmarshalUnreadableEntries(t *testing.T) {
+// An entry that can't be parsed does not affect the other entries of its list. A list that can't be parsed is an error.
+func TestUnmarshalUnreadableEntryKeepsOtherEntries(t *testing.T) {
 	for text, want := range map[string]*List{
 		`{"revision":4,"complete":true,"members":[{"id":"a","phase":"active","cell":2},{"id":"b","cell":"x"},17,{"cell":3}]}`: {
 			Revision: 4, Complete: true, Members: []Member{
@@ -25,13 +25,13 @@
 		var got List
 		err := json.Unmarshal([]byte(text), &got)
 		if (err == nil) != (want != nil) || err == nil && !reflect.DeepEqual(got, *want) {
-			t.Errorf("%s: got %+v, %v, want %+v", text, got, err, want)
+			t.Errorf("%s: got list %+v, error %v, want %+v", text, got, err, want)
 		}
 	}
 }
 
-// A destination out of range does not affect other entries, and the error has the position.
-func TestMarkOutOfRange(t *testing.T) {
+// An entry with a destination out of range does not affect other entries. Its error contains its position in the list.
+func TestMarkOutOfRangeMarksOnlyInvalidEntries(t *testing.T) {
 	l := List{Members: []Member{
 		{ID: "a", Phase: Active, Destination: MaxPlatformDestination},
 		{ID: "b", Phase: Active, Destination: MaxPlatformDestination + 1},
@@ -40,7 +40,7 @@
 	errs := l.MarkOutOfRange(MaxPlatformDestination)
 	want := List{Members: []Member{{ID: "a", Phase: Active, Destination: MaxPlatformDestination}, {ID: "b", Phase: Unreadable}, {ID: "c", Phase: Unreadable}}}
 	if !reflect.DeepEqual(l, want) {
-		t.Errorf("got the list %+v, want %+v", l, want)
+		t.Errorf("got list %+v, want %+v", l, want)
 	}
 	if len(errs) != 2 || errs[0].Error() != `entry 1 of the list ("b"): cell 65536 is not between 0 and 65535` {
 		t.Errorf("got errors %q, want one for entry 1 and one for entry 2", errs)
