--- a/internal/container/expiry.go
+++ b/internal/container/expiry.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// Expiry finds the values whose time has come. It uses memory for the values in it only.
+// Expiry is a set of values with expiry times. It keeps no memory for removed values.
 type Expiry[T comparable] struct {
 	heap  Heap[T]
 	items map[T]*Item[T]
 }
 
-// Set adds a value with a time, or changes its time.
+// Set adds a value with its expiry time, or changes its time.
 func (x *Expiry[T]) Set(value T, at time.Duration) {
 	if x.items == nil {
 		x.items = map[T]*Item[T]{}
@@ -21,7 +21,7 @@
 	x.heap.Set(item, int64(at))
 }
 
-// Remove removes a value, if it is there.
+// Remove removes a value, if present.
 func (x *Expiry[T]) Remove(value T) {
 	if item := x.items[value]; item != nil {
 		x.heap.Remove(item)
@@ -29,8 +29,8 @@
 	}
 }
 
-// PopUntil removes all values whose time is not after now, the earliest first, and calls expired for each. That may set
-// the value again, with a later time.
+// PopUntil removes all values whose time is not after now, earliest first, and calls expired for each of them. The
+// function expired may set the value again with a time after now.
 func (x *Expiry[T]) PopUntil(now time.Duration, expired func(T)) {
 	x.heap.PopUntil(int64(now), func(value T) {
 		delete(x.items, value)
--- a/internal/container/expiry_test.go
+++ b/internal/container/expiry_test.go
@@ -8,8 +8,9 @@
 	"pgregory.net/rapid"
 )
 
-// Values expire when their time has come, as those of a map do that is searched completely.
-func TestExpiryAgainstMap(t *testing.T) {
+// An expiry removes the same values at each time as a map that is searched completely, and keeps no memory for removed
+// values. The callback may set the expired value again.
+func TestExpiryMatchesMap(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var expiry Expiry[int]
 		want := map[int]time.Duration{}
@@ -35,10 +36,10 @@
 			for _, value := range due {
 				delete(want, value)
 			}
-			again := rapid.Bool().Draw(t, "again")
+			setAgain := rapid.Bool().Draw(t, "set again")
 			expiry.PopUntil(now, func(value int) {
 				got = append(got, value)
-				if again {
+				if setAgain {
 					expiry.Set(value, now+1)
 					want[value] = now + 1
 				}
@@ -46,7 +47,7 @@
 			slices.Sort(due)
 			slices.Sort(got)
 			if !slices.Equal(got, due) || expiry.Len() != len(want) || len(expiry.items) != len(want) {
-				t.Fatalf("got %v expired at %v and %d left, want %v and %d", got, now, expiry.Len(), due, len(want))
+				t.Fatalf("at %v: got %v expired, %d left, want %v, %d", now, got, expiry.Len(), due, len(want))
 			}
 		}
 	})
--- a/internal/container/heap.go
+++ b/internal/container/heap.go
@@ -2,14 +2,14 @@
 
 import "container/heap"
 
-// Item is an element of a [Heap]. It is in one heap at most; the zero Item is in none.
+// Item is an element of a [Heap]. It is in at most one heap; the zero Item is in none.
 type Item[T any] struct {
 	Value    T
 	key      int64
-	position int // in the heap, from 1; 0 if it is in none
+	position int // 1-based position in the heap; 0 if the item is in no heap
 }
 
-// Heap finds the item with the least key. Setting and removing an item cost O(log n).
+// Heap is a priority queue that finds the item with the lowest key. Setting and removing an item cost O(log n).
 type Heap[T any] struct{ items items[T] }
 
 // Set adds an item with a key, or changes its key.
@@ -22,14 +22,14 @@
 	heap.Push(&h.items, item)
 }
 
-// Remove removes an item, if it is there.
+// Remove removes an item, if present.
 func (h *Heap[T]) Remove(item *Item[T]) {
 	if item.position > 0 {
 		heap.Remove(&h.items, item.position-1)
 	}
 }
 
-// Min returns the item with the least key, and the key. It returns nil if the heap is empty.
+// Min returns the item with the lowest key, and the key. It returns nil if the heap is empty.
 func (h *Heap[T]) Min() (*Item[T], int64) {
 	if len(h.items) == 0 {
 		return nil, 0
@@ -37,11 +37,11 @@
 	return h.items[0], h.items[0].key
 }
 
-// PopUntil removes all items whose keys are not above a key, the least first, and calls popped for the value of each.
+// PopUntil removes all items with keys up to and including the given key, lowest first, and calls popped for each value.
 func (h *Heap[T]) PopUntil(key int64, popped func(T)) {
 	for {
-		item, least := h.Min()
-		if item == nil || least > key {
+		item, lowest := h.Min()
+		if item == nil || lowest > key {
 			return
 		}
 		h.Remove(item)
--- a/internal/container/heap_test.go
+++ b/internal/container/heap_test.go
@@ -7,8 +7,8 @@
 	"pgregory.net/rapid"
 )
 
-// A heap gives its items in the order of a sorted slice.
-func TestHeapAgainstSortedSlice(t *testing.T) {
+// A heap returns its items in the same order as a sorted slice, while items are added, moved and removed.
+func TestHeapMatchesSortedSlice(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var h Heap[int]
 		items := make([]Item[int], 20)
@@ -31,7 +31,7 @@
 				h.PopUntil(until, func(i int) {
 					k, in := keys[i]
 					if !in || k > until || k < last {
-						t.Fatalf("got item %d of key %d, in the heap: %v, after key %d; want keys in order until %d", i, k, in, last, until)
+						t.Fatalf("got item %d with key %d (in the heap: %v) after key %d, want ascending keys up to %d", i, k, in, last, until)
 					}
 					last = k
 					delete(keys, i)
@@ -42,9 +42,9 @@
 				sorted = append(sorted, k)
 			}
 			slices.Sort(sorted)
-			i2, k := h.Min()
-			if h.Len() != len(sorted) || (i2 == nil) != (len(sorted) == 0) || i2 != nil && (k != sorted[0] || keys[i2.Value] != k) {
-				t.Fatalf("got the least of %d items %v with key %d, want the first of %v", h.Len(), i2, k, sorted)
+			lowest, k := h.Min()
+			if h.Len() != len(sorted) || (lowest == nil) != (len(sorted) == 0) || lowest != nil && (k != sorted[0] || keys[lowest.Value] != k) {
+				t.Fatalf("lowest of %d items: got %v with key %d, want the first key of %v", h.Len(), lowest, k, sorted)
 			}
 		}
 	})
--- a/internal/container/keyqueue.go
+++ b/internal/container/keyqueue.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// KeyQueue is the first-in, first-out queue of the values of one key, which may be in a cooldown. A nil KeyQueue is that of
-// values without a key: each of them is the first, and it has no cooldown.
+// KeyQueue is a first-in, first-out queue of the values with the same key. It may be in a cooldown. A nil KeyQueue
+// represents values without a key: each of them counts as the first of its queue, and there is no cooldown.
 type KeyQueue[T comparable] struct {
 	key           uint64
 	values        []T
@@ -16,23 +16,23 @@
 // IsFirst reports whether a value is the first of its queue.
 func (q *KeyQueue[T]) IsFirst(value T) bool { return q == nil || q.values[0] == value }
 
-// CoolDown starts or extends the cooldown of the queue.
+// CoolDown starts a cooldown of the queue or extends the current one.
 func (q *KeyQueue[T]) CoolDown(until time.Duration) {
 	if q != nil {
 		q.cooldownUntil = max(q.cooldownUntil, until)
 	}
 }
 
-// CoolingDown reports whether the queue is in its cooldown.
+// CoolingDown reports whether the queue is in a cooldown.
 func (q *KeyQueue[T]) CoolingDown(now time.Duration) bool { return q != nil && now < q.cooldownUntil }
 
-// KeyQueues are the queues of all keys that have values or a cooldown.
+// KeyQueues contains the queue of each key that has values or a cooldown.
 type KeyQueues[T comparable] struct {
 	queues map[uint64]*KeyQueue[T]
-	empty  Expiry[*KeyQueue[T]] // by the end of their cooldown
+	empty  Expiry[*KeyQueue[T]] // queues without values, by the end of their cooldown
 }
 
-// Add adds a value behind all others of its key, and returns its queue.
+// Add appends a value to the queue of its key, and returns the queue.
 func (x *KeyQueues[T]) Add(key uint64, value T) *KeyQueue[T] {
 	q := x.queues[key]
 	if q == nil {
@@ -46,7 +46,7 @@
 	return q
 }
 
-// Remove removes a value from its queue, which may be nil.
+// Remove removes a value from its queue. It does nothing if the queue is nil.
 func (x *KeyQueues[T]) Remove(q *KeyQueue[T], value T, now time.Duration) {
 	if q == nil {
 		return
@@ -63,7 +63,7 @@
 	delete(x.queues, q.key)
 }
 
-// Expire removes the queues whose cooldown is over and that have no values.
+// Expire removes the queues without values whose cooldown has ended.
 func (x *KeyQueues[T]) Expire(now time.Duration) {
 	x.empty.PopUntil(now, func(q *KeyQueue[T]) {
 		if len(q.values) == 0 {
--- a/internal/container/keyqueue_test.go
+++ b/internal/container/keyqueue_test.go
@@ -8,9 +8,9 @@
 	"pgregory.net/rapid"
 )
 
-// Queues by key give the values of one slice that is searched from its front, and only those with values or a cooldown
-// are kept.
-func TestKeyQueuesAgainstSlice(t *testing.T) {
+// Queues by key have the same first values as one slice that is searched from its front. Guards against a queue that is
+// kept without values and without a cooldown.
+func TestKeyQueuesMatchSlice(t *testing.T) {
 	type entry struct {
 		key   uint64
 		queue *KeyQueue[*entry]
@@ -41,7 +41,7 @@
 			keys := map[uint64]bool{}
 			for _, e := range all {
 				if first := !keys[e.key]; e.queue.IsFirst(e) != first || e.queue.CoolingDown(now) != (now < cooldowns[e.key]) {
-					t.Fatalf("got first %v, cooling down %v until %v at %v, want first %v", e.queue.IsFirst(e), e.queue.CoolingDown(now), cooldowns[e.key], now, first)
+					t.Fatalf("at %v: got first %v, cooling down %v, want first %v, cooldown until %v", now, e.queue.IsFirst(e), e.queue.CoolingDown(now), first, cooldowns[e.key])
 				}
 				keys[e.key] = true
 			}
@@ -57,13 +57,13 @@
 	})
 }
 
-// Values without a key do not wait for each other.
-func TestNoKeyQueue(t *testing.T) {
+// Values without a key have a nil queue, and do not wait for each other.
+func TestNilKeyQueueNeverBlocks(t *testing.T) {
 	var queues KeyQueues[int]
-	var none *KeyQueue[int]
-	none.CoolDown(time.Hour)
-	queues.Remove(none, 1, 0)
-	if !none.IsFirst(1) || none.CoolingDown(0) || queues.Len() != 0 {
-		t.Error("got a value without a key that waits, want each of them the first")
+	var noKey *KeyQueue[int]
+	noKey.CoolDown(time.Hour)
+	queues.Remove(noKey, 1, 0)
+	if !noKey.IsFirst(1) || noKey.CoolingDown(0) || queues.Len() != 0 {
+		t.Errorf("got first %v, cooling down %v, %d queues, want true, false, 0", noKey.IsFirst(1), noKey.CoolingDown(0), queues.Len())
 	}
 }
--- a/internal/container/orderedset_test.go
+++ b/internal/container/orderedset_test.go
@@ -8,8 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// A set has the values of a map, in the order of their keys.
-func TestOrderedSetAgainstMap(t *testing.T) {
+// A set has the same values as a map, in ascending order of their keys.
+func TestOrderedSetMatchesMap(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var set OrderedSet[int]
 		want := map[uint64]int{}
@@ -29,7 +29,7 @@
 				values = append(values, want[key])
 			}
 			if !slices.Equal(set.Values(), values) || set.Len() != len(values) {
-				t.Fatalf("got %v of %d, want %v", set.Values(), set.Len(), values)
+				t.Fatalf("got values %v, length %d, want %v", set.Values(), set.Len(), values)
 			}
 		}
 	})
--- a/internal/container/pool.go
+++ b/internal/container/pool.go
@@ -1,12 +1,12 @@
 package container
 
-// Pool keeps up to MaxSpare values for reuse.
+// Pool retains up to MaxSpare values for reuse.
 type Pool[T any] struct {
 	MaxSpare int
 	spare    []*T
 }
 
-// Get returns a value that was put back, as it was, or a zero one.
+// Get returns a retained value without resetting it, or a new zero value if there is none.
 func (p *Pool[T]) Get() *T {
 	last := len(p.spare) - 1
 	if last < 0 {
@@ -17,12 +17,12 @@
 	return value
 }
 
-// Put keeps a value for a later Get, or drops it if there are enough.
+// Put retains a value for a later Get. It drops the value if the pool has MaxSpare values.
 func (p *Pool[T]) Put(value *T) {
 	if len(p.spare) < p.MaxSpare {
 		p.spare = append(p.spare, value)
 	}
 }
 
-// Len returns the number of values that are kept.
+// Len returns the number of retained values.
 func (p *Pool[T]) Len() int { return len(p.spare) }
--- a/internal/container/queue.go
+++ b/internal/container/queue.go
@@ -8,46 +8,47 @@
 	"github.com/google/btree"
 )
 
-// treeDegree is the degree of the B-trees of a [Queue]: a node has at most 63 entries.
+// treeDegree is the degree of the B-trees of a [Queue]. A tree node has at most 63 entries.
 const treeDegree = 32
 
-// Entry is an element of a [Queue]. It is in one queue at most; the zero Entry is in none. Its fields must not be changed
+// Entry is an element of a [Queue]. It is in at most one queue; the zero Entry is in none. Its fields must not be changed
 // while it is in a queue.
 type Entry[T any] struct {
 	Value     T
 	Class     int
-	CreatedAt int64  // orders entries by age, in nanoseconds
-	Seq       uint64 // unique; orders entries that were created at the same time
-	// Plain is set if only its class and its age distinguish the value from others, so that it need not be considered
-	// for itself.
+	CreatedAt int64  // creation time in nanoseconds; orders entries by age
+	Seq       uint64 // unique number; orders entries with the same creation time
+	// Plain is set if the value differs from other plain values only by its class and its age, so that it need not be
+	// considered individually. An entry that is not plain is distinct.
 	Plain bool
 
-	position         *list.Element // in order of arrival
-	distinctPosition *list.Element // among those that are not plain, in the order in which they became so
+	position         *list.Element // in Queue.all; nil if the entry is in no queue
+	distinctPosition *list.Element // in Queue.distinct; nil if the entry is plain or in no queue
 }
 
-// Compare returns a negative number if an entry was created before another, or at the same time with a lower number, and a
-// positive one in the opposite case.
+// Compare orders entries by creation time, then by Seq. It returns a negative number if e is before other, and a positive
+// number if e is after other.
 func (e *Entry[T]) Compare(other *Entry[T]) int {
 	return cmp.Or(cmp.Compare(e.CreatedAt, other.CreatedAt), cmp.Compare(e.Seq, other.Seq))
 }
 
-// Before reports whether an entry comes before another by [Entry.Compare].
+// Before reports whether e is before other in the order of [Entry.Compare].
 func (e *Entry[T]) Before(other *Entry[T]) bool { return e.Compare(other) < 0 }
 
-// Queue has entries in order of arrival, and finds the plain ones of a class by age. Adding and removing cost O(log n).
+// Queue contains entries in order of arrival, and finds the plain entries of a class by age. Adding and removing an entry
+// cost O(log n).
 type Queue[T any] struct {
-	all       list.List                  // of *Entry[T], in order of arrival
-	distinct  list.List                  // of *Entry[T], in the order in which they were added or made distinct
-	plain     []*btree.BTreeG[*Entry[T]] // by class
-	low, high Entry[T]                   // bounds of a search in trees
+	all       list.List                  // all entries, as *Entry[T], in order of arrival
+	distinct  list.List                  // distinct entries, as *Entry[T], in the order in which they became distinct
+	plain     []*btree.BTreeG[*Entry[T]] // plain entries by class
+	low, high Entry[T]                   // bounds of tree searches, reused to avoid allocations
 	sample    []T                        // reused by VisitByAge
 }
 
 // Len returns the number of entries.
 func (q *Queue[T]) Len() int { return q.all.Len() }
 
-// Add adds an entry behind all others, if it is not in the queue.
+// Add appends an entry. It does nothing if the entry is in the queue.
 func (q *Queue[T]) Add(e *Entry[T]) {
 	if e.position != nil {
 		return
@@ -56,7 +57,7 @@
 	q.index(e)
 }
 
-// index adds an entry to the distinct ones, or to the plain ones of its class.
+// index adds an entry to the list of distinct entries, or to the tree of plain entries of its class.
 func (q *Queue[T]) index(e *Entry[T]) {
 	if !e.Plain {
 		e.distinctPosition = q.distinct.PushBack(e)
@@ -82,7 +83,7 @@
 	return true
 }
 
-// unindex undoes index.
+// unindex reverses index.
 func (q *Queue[T]) unindex(e *Entry[T]) {
 	if e.distinctPosition != nil {
 		q.distinct.Remove(e.distinctPosition)
@@ -92,7 +93,7 @@
 	q.plain[e.Class].Delete(e)
 }
 
-// MakeDistinct clears Plain of an entry, whether it is in the queue or not.
+// MakeDistinct clears the Plain field of an entry, and updates the queue if it contains the entry.
 func (q *Queue[T]) MakeDistinct(e *Entry[T]) {
 	if !e.Plain {
 		return
@@ -106,11 +107,11 @@
 	}
 }
 
-// All returns all values in order of arrival. The current entry may be removed during the iteration.
+// All iterates over all values in order of arrival. The current entry may be removed during the iteration.
 func (q *Queue[T]) All() iter.Seq[T] { return values[T](&q.all) }
 
-// Distinct returns the values that are not plain, in the order in which they became distinct: when they were added, or
-// later by MakeDistinct. The current entry may be removed during the iteration.
+// Distinct iterates over the distinct values, in the order in which they became distinct by Add or by MakeDistinct. The
+// current entry may be removed during the iteration.
 func (q *Queue[T]) Distinct() iter.Seq[T] { return values[T](&q.distinct) }
 
 func values[T any](l *list.List) iter.Seq[T] {
@@ -125,7 +126,7 @@
 	}
 }
 
-// OldestPlain returns the oldest plain value of each class.
+// OldestPlain iterates over the oldest plain value of each class.
 func (q *Queue[T]) OldestPlain() iter.Seq[T] {
 	return func(yield func(T) bool) {
 		for _, tree := range q.plain {
--- a/internal/container/queueage.go
+++ b/internal/container/queueage.go
@@ -8,10 +8,12 @@
 	"github.com/google/btree"
 )
 
-// VisitByAge calls visit for a sample of the plain values of a class until it returns false. Ages divide the values into
-// spans, and the sample has up to n of the oldest and up to n of the youngest of each span, as [Queue.OldestAndYoungest]
-// returns them. A span begins after an age. Now counts from the same moment as CreatedAt. Visit may be called twice for a
-// value. VisitByAge sorts ages in place.
+// VisitByAge calls visit for a sample of the plain values of a class, until visit returns false. It may call visit twice
+// for the same value.
+//
+// The ages divide the values into spans, visited from the youngest to the oldest. The sample contains up to n of the oldest
+// and up to n of the youngest values of each span, see [Queue.OldestAndYoungest]. A value of exactly a boundary age belongs
+// to the older span. The origin of now is that of CreatedAt. VisitByAge sorts ages in place.
 func (q *Queue[T]) VisitByAge(class int, now time.Duration, n int, visit func(T) bool, ages ...time.Duration) {
 	slices.Sort(ages)
 	until := int64(math.MaxInt64 - 1)
@@ -31,9 +33,9 @@
 	clear(q.sample)
 }
 
-// OldestAndYoungest appends up to n of the oldest and up to n of the youngest plain values of a class that were created
-// after one time and not after another. Of those that were created at the same time, lower numbers come first in both.
-// Some values may be appended twice.
+// OldestAndYoungest appends to the slice up to n of the oldest and up to n of the youngest plain values of a class whose
+// creation time is later than after, and not later than until. Among values with the same creation time it prefers those
+// with the lowest Seq, for the youngest too. It may append a value twice.
 func (q *Queue[T]) OldestAndYoungest(class int, after, until int64, n int, to []T) []T {
 	if class >= len(q.plain) || q.plain[class] == nil || q.plain[class].Len() == 0 {
 		return to
@@ -48,12 +50,12 @@
 	before := len(to)
 	to = q.appendCreated(tree, after+1, until+1, n, to)
 	if len(to)-before < n {
-		return to // these are all
+		return to // there are fewer than n values, and all are appended
 	}
 	return q.appendYoungest(tree, after, until, n, to)
 }
 
-// appendCreated appends up to limit values that were created from one time on and before another, the oldest first.
+// appendCreated appends up to limit values with a creation time from from, inclusive, to before, exclusive, oldest first.
 func (q *Queue[T]) appendCreated(tree *btree.BTreeG[*Entry[T]], from, before int64, limit int, to []T) []T {
 	q.low.CreatedAt, q.high.CreatedAt = from, before
 	end := len(to) + limit
@@ -64,8 +66,8 @@
 	return to
 }
 
-// appendYoungest appends up to n of the youngest values that were created after one time and not after another: for each
-// time of creation, the latest first, those with the lowest numbers.
+// appendYoungest appends up to n of the youngest values whose creation time is later than after, and not later than until.
+// It goes from the latest creation time to the earliest, and appends the values of each in ascending order of Seq.
 func (q *Queue[T]) appendYoungest(tree *btree.BTreeG[*Entry[T]], after, until int64, n int, to []T) []T {
 	end := len(to) + n
 	for createdAt := until + 1; len(to) < end; {
@@ -79,7 +81,7 @@
 	return to
 }
 
-// latestBefore returns the last entry that was created before a time, nil if there is none.
+// latestBefore returns the last entry with a creation time before the given time, or nil if there is none.
 func (q *Queue[T]) latestBefore(tree *btree.BTreeG[*Entry[T]], createdAt int64) *Entry[T] {
 	var latest *Entry[T]
 	q.low.CreatedAt = createdAt
--- a/internal/container/tagmap.go
+++ b/internal/container/tagmap.go
@@ -2,17 +2,18 @@
 
 import "iter"
 
-// Linked is a pointer to a value of a [TagMap]. Link returns the field in which the value keeps the one that was added
-// before it with the same tag; only the map writes to it.
+// Linked is a pointer to a value of a [TagMap]. Link returns the address of the value's link field, in which the map stores
+// the previous value with the same tag. Only the map writes the field.
 type Linked[T any] interface {
 	comparable
 	Link() *T
 }
 
-// TagMap finds values by a short tag that several of them may share. It has one map entry a tag.
+// TagMap finds values by a short tag that several values may share. Values with the same tag form a linked list, so that
+// the map needs one entry per tag.
 type TagMap[Tag comparable, T Linked[T]] struct {
 	newest   map[Tag]T
-	orphaned map[Tag]struct{} // tags whose newest was removed while there were older ones
+	orphaned map[Tag]struct{} // tags whose newest value was removed while older ones were present
 }
 
 // Add adds a value with a tag.
@@ -25,7 +26,7 @@
 	delete(m.orphaned, tag)
 }
 
-// Remove removes a value that was added with a tag.
+// Remove removes a value that was added with the tag.
 func (m *TagMap[Tag, T]) Remove(tag Tag, value T) {
 	older := *value.Link()
 	if m.newest[tag] != value {
@@ -47,8 +48,8 @@
 	m.orphaned[tag] = struct{}{}
 }
 
-// Current returns the value that was added last with a tag, or the zero value if that was removed: a report that names
-// the tag may be about the removed one, until another is added.
+// Current returns the value that was added last with a tag. It returns the zero value if that one was removed, until
+// another is added: a report with this tag may refer to the removed value rather than to an older one.
 func (m *TagMap[Tag, T]) Current(tag Tag) (value T) {
 	if _, orphaned := m.orphaned[tag]; orphaned {
 		return value
@@ -56,7 +57,7 @@
 	return m.newest[tag]
 }
 
-// Find returns the newest value with a tag that matches, or the zero value.
+// Find returns the newest value with a tag for which match returns true, or the zero value.
 func (m *TagMap[Tag, T]) Find(tag Tag, match func(T) bool) (none T) {
 	for v := range m.chain(m.newest[tag]) {
 		if match(v) {
@@ -66,7 +67,7 @@
 	return none
 }
 
-// All returns all values, in no order.
+// All iterates over all values in unspecified order.
 func (m *TagMap[Tag, T]) All() iter.Seq[T] {
 	return func(yield func(T) bool) {
 		for _, newest := range m.newest {
@@ -79,7 +80,7 @@
 	}
 }
 
-// chain returns a value and those that were added before it with the same tag, the newest first.
+// chain iterates over a value and the older values with the same tag, newest first.
 func (m *TagMap[Tag, T]) chain(newest T) iter.Seq[T] {
 	return func(yield func(T) bool) {
 		var none T
--- a/internal/container/tagmap_test.go
+++ b/internal/container/tagmap_test.go
@@ -14,9 +14,9 @@
 
 func (v *tagged) Link() **tagged { return &v.older }
 
-// Values are found by tag as in a slice that is searched from its end. The current one of a tag is the one that was added
-// last, until that is removed.
-func TestTagMapAgainstSlice(t *testing.T) {
+// A tag map finds the same values as a slice that is searched from its end. The current value of a tag is the one that was
+// added last, until that one is removed.
+func TestTagMapMatchesSlice(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var tags TagMap[int, *tagged]
 		var all []*tagged
@@ -38,20 +38,20 @@
 			}
 			for tag := range 4 {
 				if got := tags.Current(tag); got != current[tag] {
-					t.Fatalf("tag %d: got %v, want %v", tag, got, current[tag])
+					t.Fatalf("current value of tag %d: got %v, want %v", tag, got, current[tag])
 				}
 			}
 			for _, v := range all {
 				if got := tags.Find(v.tag, func(o *tagged) bool { return o.id == v.id }); got != v {
-					t.Fatalf("got %v, want %v", got, v)
+					t.Fatalf("Find: got %v, want %v", got, v)
 				}
 			}
 			var missing *tagged
 			if got := tags.Find(0, func(o *tagged) bool { return o.id == -1 }); got != missing {
-				t.Fatalf("got %v, want none", got)
+				t.Fatalf("Find without a match: got %v, want nil", got)
 			}
 			if found := slices.Collect(tags.All()); len(found) != len(all) {
-				t.Fatalf("got %d values, want %d", len(found), len(all))
+				t.Fatalf("All: got %d values, want %d", len(found), len(all))
 			}
 		}
 	})
--- a/internal/container/window.go
+++ b/internal/container/window.go
@@ -6,20 +6,20 @@
 	"time"
 )
 
-// Window is a sliding window of times in ascending order, such as those of calls. The zero Window has no length.
+// Window is a sliding window of times in ascending order, such as the times of calls. The zero Window has length 0.
 type Window struct {
-	Span  time.Duration // its length: times that are so old are outside
+	Span  time.Duration // length of the window; a time is outside once its age is Span or more
 	times []time.Duration
 }
 
-// Record adds a time that is not before the last one.
+// Record adds a time, which must not be before the last one.
 func (w *Window) Record(now time.Duration) { w.times = append(w.times, now) }
 
-// RecordOnly adds a time and drops all others, for a window of which only the last time is read.
+// RecordOnly adds a time and drops all others. It is for windows of which only the last time is used.
 func (w *Window) RecordOnly(now time.Duration) { w.times = append(w.times[:0], now) }
 
-// Count returns the number of times in the window, and drops those outside, except for the last one, which stays for
-// FromLast and Next.
+// Count returns the number of times in the window, and drops the times outside. It keeps the last time even if that is
+// outside, for NthLatest and Next.
 func (w *Window) Count(now time.Duration) int {
 	outside := 0
 	for outside < len(w.times) && now-w.times[outside] >= w.Span {
@@ -29,33 +29,34 @@
 	if n == 0 && outside > 0 {
 		outside--
 	}
-	w.times = w.times[outside:] // append allocates anew at the end of the array
+	w.times = w.times[outside:] // append reallocates at the end of the array, which frees the dropped times
 	return n
 }
 
-// FromLast returns the nth latest time; n = 1 is the latest. It reports false if fewer are kept.
-func (w *Window) FromLast(n int) (at time.Duration, ok bool) {
+// NthLatest returns the nth latest time; n = 1 is the latest. It returns false if fewer than n times are kept.
+func (w *Window) NthLatest(n int) (at time.Duration, ok bool) {
 	if n < 1 || len(w.times) < n {
 		return 0, false
 	}
 	return w.times[len(w.times)-n], true
 }
 
-// Next returns when a time may be added next, so that a mean gap, in nanoseconds and above 0, stays between them. The
-// caller looks once a tick, so as many times may be added at once as are due in one.
+// Next returns the earliest time at which the next time may be added, so that the mean gap between times is kept. The gap
+// is in nanoseconds and above 0. The caller checks once per tick, so all times that are due within a tick may be added at
+// once.
 func (w *Window) Next(gap float64, tick time.Duration) time.Duration {
 	dueInTick := max(1, math.Ceil(float64(tick)/gap))
-	earlier, ok := w.FromLast(int(min(dueInTick, float64(len(w.times)+1))))
+	earlier, ok := w.NthLatest(int(min(dueInTick, float64(len(w.times)+1))))
 	if !ok {
 		return 0
 	}
 	return earlier + time.Duration(dueInTick*gap)
 }
 
-// Len returns the number of times that are kept.
+// Len returns the number of kept times, which may include one outside the window.
 func (w *Window) Len() int { return len(w.times) }
 
-// Insert inserts times in their order.
+// Insert inserts times at their positions in ascending order. They may be before the last time.
 func (w *Window) Insert(times []time.Duration) {
 	for _, at := range times {
 		i := len(w.times)
--- a/internal/container/window_test.go
+++ b/internal/container/window_test.go
@@ -8,11 +8,11 @@
 	"pgregory.net/rapid"
 )
 
-// A window counts as a list of all times in it does.
-func TestWindowAgainstList(t *testing.T) {
+// A window counts the same times as a list, and keeps at most one time outside: the last one.
+func TestWindowMatchesList(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := Window{Span: 10}
-		var list []time.Duration // of the times in the window
+		var list []time.Duration // the times in the window
 		now, last := time.Duration(100), time.Duration(-1)
 		for range rapid.IntRange(1, 100).Draw(t, "steps") {
 			switch rapid.IntRange(0, 4).Draw(t, "step") {
@@ -33,11 +33,11 @@
 			if n := w.Count(now); n != len(list) {
 				t.Fatalf("at %d: got %d times, want %v", now, n, list)
 			}
-			if at, ok := w.FromLast(1); ok != (last >= 0) || ok && at != last {
-				t.Fatalf("got last time %d (%v), want %d", at, ok, last)
+			if at, ok := w.NthLatest(1); ok != (last >= 0) || ok && at != last {
+				t.Fatalf("last time: got %d, present %v, want %d", at, ok, last)
 			}
 			if w.Len() > len(list)+1 {
-				t.Fatalf("got %d times kept, want %d and one more at most", w.Len(), len(list))
+				t.Fatalf("kept times: got %d, want at most %d", w.Len(), len(list)+1)
 			}
 		}
 	})
