--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -21,19 +21,19 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// fakes are dependencies that record their calls.
+// fakes implements the dependencies of an engine and records their calls.
 type fakes struct {
 	calls              []*egress.Call
-	idle               []*egress.Endpoint // endpoints whose idle connections were to be closed
-	completed          []string
-	destinations       map[int]bool
-	destinationUpdates int // calls of SetDestinations
+	idleClosed         []*egress.Endpoint // arguments of CloseIdle
+	completed          []string           // IDs of completed messages
+	destinations       map[int]bool       // the latest argument of SetDestinations
+	destinationUpdates int                // number of calls of SetDestinations
 	announced          chan *message.Message
-	persist            func(...store.Completion) error
+	persist            func(...store.Completion) error // implements Complete of fakeStore
 }
 
 func (f *fakes) Start(_ context.Context, call *egress.Call) { f.calls = append(f.calls, call) }
-func (f *fakes) CloseIdle(e *egress.Endpoint)               { f.idle = append(f.idle, e) }
+func (f *fakes) CloseIdle(e *egress.Endpoint)               { f.idleClosed = append(f.idleClosed, e) }
 func (f *fakes) RoundBegan()                                {}
 func (f *fakes) RoundEnded()                                {}
 func (f *fakes) EvictIdle(time.Time)                        {}
@@ -50,31 +50,31 @@
 	}
 }
 
-// fakeStore can only persist final responses.
+// fakeStore implements only Complete.
 type fakeStore struct {
 	store.Store
-	f *fakes
+	fakes *fakes
 }
 
-func (s fakeStore) Complete(_ context.Context, ends ...store.Completion) error {
-	return s.f.persist(ends...)
+func (s fakeStore) Complete(_ context.Context, completions ...store.Completion) error {
+	return s.fakes.persist(completions...)
 }
 
 func newEngine(settings policy.Settings) (*Engine, *fakes) {
 	e := New(Config{Settings: settings, Seed: 1, Kinds: map[string]int{"general": 0}, Zones: map[string]int{"a": 0}})
 	f := &fakes{announced: make(chan *message.Message, 16)}
-	f.persist = func(ends ...store.Completion) error {
-		for _, ending := range ends {
-			ending.Message.FinalResponse = &ending.Response
+	f.persist = func(completions ...store.Completion) error {
+		for _, c := range completions {
+			c.Message.FinalResponse = &c.Response
 		}
 		return nil
 	}
-	e.Use(Dependencies{Store: fakeStore{f: f}, Carrier: f, Admission: f, Notifier: f, HealthHistory: HealthHistory{}, Log: testkit.QuietLog()})
+	e.Use(Dependencies{Store: fakeStore{fakes: f}, Carrier: f, Admission: f, Notifier: f, HealthHistory: HealthHistory{}, Log: testkit.QuietLog()})
 	return e, f
 }
 
-func member(id string, cell int, phase string) directory.Member {
-	return directory.Member{ID: id, HostPort: "127.0.0.1:1", Zone: "a", Kind: "general", Destination: cell, Phase: phase, Size: 1}
+func member(id string, destination int, phase string) directory.Member {
+	return directory.Member{ID: id, HostPort: "127.0.0.1:1", Zone: "a", Kind: "general", Destination: destination, Phase: phase, Size: 1}
 }
 
 var testSettings = policy.Settings{
@@ -86,19 +86,19 @@
 	}},
 }
 
-// A message is given up early enough to persist and announce its final response.
-func TestResponseMargin(t *testing.T) {
+// The module must give up a message early enough before its deadline to persist and announce its final response.
+func TestArrivalGivesUpResponseMarginBeforeDeadline(t *testing.T) {
 	e, _ := newEngine(testSettings)
 	m := &message.Message{Seq: 1, ID: "a", Destination: 7, Deadline: time.Now().Add(20 * time.Second)}
 	without := e.arrival(m).GiveUpAt
 	e.responseMargin = 5 * time.Second
 	if with := e.arrival(m).GiveUpAt; with > without-4900*time.Millisecond || with < without-5100*time.Millisecond {
-		t.Errorf("with a margin of 5 s: got %v, want about 5 s before %v", with, without)
+		t.Errorf("GiveUpAt with a margin of 5 s: got %v, want about 5 s before %v", with, without)
 	}
 }
 
-// Messages of one step to one endpoint share a call, up to the maximum of its kind. The call ends before the first of
-// their deadlines.
+// Messages of one step to the same endpoint share a call, up to the maximum of the endpoint's kind. The time limit of the
+// call is the earliest deadline of its messages.
 func TestMessagesOfOneStepShareACall(t *testing.T) {
 	e, f := newEngine(testSettings)
 	e.handle(EndpointsChanged{List: directory.List{Complete: true, Members: []directory.Member{member("s1", 7, directory.Active)}}})
@@ -107,7 +107,7 @@
 	}
 	e.step(t.Context())
 	if len(f.calls) != 1 || len(f.calls[0].Parts) != 5 || f.calls[0].Endpoint.Name != "s1" || f.calls[0].Addr != "127.0.0.1:1" {
-		t.Fatalf("got calls %+v, want one of five messages", f.calls)
+		t.Fatalf("got calls %+v, want one call of 5 messages", f.calls)
 	}
 	if limit := f.calls[0].Limit; limit <= 0 || limit > time.Second {
 		t.Errorf("limit of the call: got %v, want at most 1 s", limit)
@@ -117,18 +117,18 @@
 	}
 }
 
-// A final response is announced once it is persisted, in the order of the module's decisions; also one whose write
-// failed; never one whose message was delivered meanwhile. What was decided before the engine ends is persisted when it
-// has ended.
+// Final responses are announced after they are persisted, in the order of the module's decisions. A response whose write
+// failed is announced too. A response is not announced if its message was delivered in the meantime. When the response
+// writer has stopped, all responses queued before are persisted.
 func TestFinalResponsesArePersistedThenAnnounced(t *testing.T) {
 	e, f := newEngine(testSettings)
 	entered, release := make(chan int, 16), make(chan error)
-	f.persist = func(ends ...store.Completion) error {
-		entered <- len(ends)
+	f.persist = func(completions ...store.Completion) error {
+		entered <- len(completions)
 		err := <-release
-		for _, ending := range ends {
-			if ending.Message.ID != "delivered" {
-				ending.Message.FinalResponse = &ending.Response
+		for _, c := range completions {
+			if c.Message.ID != "delivered" {
+				c.Message.FinalResponse = &c.Response
 			}
 		}
 		return err
@@ -141,18 +141,18 @@
 	}
 	complete("a")
 	if n := <-entered; n != 1 {
-		t.Fatalf("got %d final responses written, want that of a", n)
+		t.Fatalf("first write: got %d final responses, want 1", n)
 	}
 	complete("delivered")
-	complete("b") // while the store is busy: the engine does not wait
+	complete("b") // does not wait, although the store is busy
 	select {
 	case m := <-f.announced:
-		t.Fatalf("%s was announced before it was persisted", m.ID)
+		t.Fatalf("the final response of %s was announced before it was persisted", m.ID)
 	default:
 	}
 	release <- nil
 	if n := <-entered; n != 2 {
-		t.Errorf("got %d final responses written together, want 2", n)
+		t.Errorf("second write: got %d final responses, want 2", n)
 	}
 	stopped := make(chan struct{})
 	go func() { stop(); close(stopped) }()
@@ -164,24 +164,24 @@
 	for m := range f.announced {
 		announced = append(announced, m.ID)
 		if m.FinalResponse.Kind != message.Rejected || m.FinalResponse.RetryAfter != time.Second {
-			t.Errorf("%s: got %+v, want Rejected after 1s", m.ID, m.FinalResponse)
+			t.Errorf("%s: got final response %+v, want Rejected with a retry delay of 1s", m.ID, m.FinalResponse)
 		}
 	}
 	if fmt.Sprint(announced) != "[a b]" || fmt.Sprint(f.completed) != "[a delivered b]" {
-		t.Errorf("announced: got %v, want [a b]; completed: got %v, want [a delivered b]", announced, f.completed)
+		t.Errorf("got %v announced, %v completed, want [a b], [a delivered b]", announced, f.completed)
 	}
 }
 
-// A final response that is not persisted when the write context ends, at a stop, is not announced: the next process may
-// decide otherwise.
-func TestFinalResponseIsNotAnnouncedOnceWritesEnd(t *testing.T) {
+// A node stops and cancels the write context before a final response is persisted. The response must not be announced,
+// because the next process may decide on a different one.
+func TestFinalResponseIsNotAnnouncedAfterWriteContextEnds(t *testing.T) {
 	e, f := newEngine(testSettings)
 	writes, endWrites := context.WithCancel(t.Context())
 	entered := make(chan struct{})
-	f.persist = func(ends ...store.Completion) error {
+	f.persist = func(completions ...store.Completion) error {
 		close(entered)
 		<-writes.Done()
-		ends[0].Message.FinalResponse = &ends[0].Response
+		completions[0].Message.FinalResponse = &completions[0].Response
 		return store.ErrUnavailable
 	}
 	dependencies := e.deps
@@ -195,11 +195,11 @@
 	endWrites()
 	stop()
 	if len(f.announced) != 0 {
-		t.Errorf("%s was announced, though it may not be on record", (<-f.announced).ID)
+		t.Errorf("the final response of %s was announced, want none: it may not be persisted", (<-f.announced).ID)
 	}
 }
 
-// outcomeStore sets the response of each delivery, and returns an error.
+// outcomeStore sets a Delivered response for each outcome, and returns err.
 type outcomeStore struct {
 	store.Store
 	err error
@@ -210,26 +210,27 @@
 	return s.err
 }
 
-// sharedOutcomeStore is an outcomeStore that nodes share.
+// sharedOutcomeStore is an outcomeStore that is shared by several nodes.
 type sharedOutcomeStore struct {
 	outcomeStore
 	store.Shared
 }
 
-// A delivery is announced once it is persisted. If that failed on a shared store, the next owner of the message decides on
-// its response, and nothing is announced here. On a store of the node's own it is announced again after a restart.
+// A delivery is announced after it is persisted. If the write to a shared store failed, the next owner of the message
+// decides on its response, and this node must not announce one. If the write to a store that is not shared failed, the
+// delivery is announced, and is announced again after a restart. A fenced node announces nothing with either store.
 func TestDeliveryIsAnnouncedUnlessLeftToNextOwner(t *testing.T) {
 	shared := func(err error) store.Store { return sharedOutcomeStore{outcomeStore: outcomeStore{err: err}} }
 	for name, c := range map[string]struct {
 		store     store.Store
 		announced int
 	}{
-		"persisted":          {shared(nil), 1},
-		"fenced":             {shared(fmt.Errorf("no: %w", store.ErrFenced)), 0},
-		"undecided":          {shared(store.ErrUndecided), 0},
-		"store of its own":   {outcomeStore{}, 1},
-		"fenced, not shared": {outcomeStore{err: store.ErrFenced}, 0},
-		"no disk of its own": {outcomeStore{err: errors.New("no disk")}, 1},
+		"shared, persisted":     {shared(nil), 1},
+		"shared, fenced":        {shared(fmt.Errorf("no: %w", store.ErrFenced)), 0},
+		"shared, undecided":     {shared(store.ErrUndecided), 0},
+		"not shared, persisted": {outcomeStore{}, 1},
+		"not shared, fenced":    {outcomeStore{err: store.ErrFenced}, 0},
+		"not shared, failed":    {outcomeStore{err: errors.New("no disk")}, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			e, f := newEngine(testSettings)
@@ -256,12 +257,13 @@
 	}
 }
 
-// Removed endpoints are evicted, with their connections, but not while a call is in flight; one that comes back as
-// draining gets no new grace; and a new endpoint gets no waits of an old one.
+// A removed endpoint and its connections are evicted, but not while a call to it is in flight. An evicted endpoint that
+// is listed again as draining gets no new drain grace. A destination without endpoints is evicted after vacantRetention,
+// or later if its Retry-After ends later. The history of an earlier process is dropped after healthRetention.
 func TestRemovedEndpointsAreEvicted(t *testing.T) {
 	e, f := newEngine(policy.Settings{Kinds: []policy.Kind{{MaxBatch: 1}}, DrainGrace: time.Second})
-	entry := func(id string, cell int, phase string) directory.List {
-		return directory.List{Members: []directory.Member{member(id, cell, phase)}}
+	entry := func(id string, destination int, phase string) directory.List {
+		return directory.List{Members: []directory.Member{member(id, destination, phase)}}
 	}
 	e.deps.HealthHistory["of an earlier process"] = &store.EndpointHealth{}
 	now := time.Now()
@@ -273,17 +275,17 @@
 		e.handle(EndpointsChanged{List: entry(name, i%5, directory.Removed)})
 		e.evict(now)
 		if e.endpoints[endpoint.ID] == nil {
-			t.Fatal("evicted with a call in flight")
+			t.Fatal("an endpoint was evicted while a call to it was in flight")
 		}
 		e.handle(CompletedAttempt{Attempt: policy.AttemptCompleted{Endpoint: endpoint.ID}})
 		e.evict(now)
-		if len(f.idle) != i+1 || f.idle[i] != &endpoint.Endpoint {
-			t.Fatal("the connections of a removed endpoint were kept")
+		if len(f.idleClosed) != i+1 || f.idleClosed[i] != &endpoint.Endpoint {
+			t.Fatal("the connections of an evicted endpoint were not closed")
 		}
 		before := len(e.batch)
 		e.handle(EndpointsChanged{List: entry(name, i%5, directory.Draining)})
 		if e.endpoints[endpoint.ID] != nil || len(e.batch[before].(policy.EndpointUpdate).Entries) != 0 {
-			t.Fatal("a removed endpoint got a new grace")
+			t.Fatal("an evicted endpoint got a new drain grace")
 		}
 		e.batch = e.batch[:0]
 	}
@@ -291,27 +293,28 @@
 	updates := f.destinationUpdates
 	e.evict(now.Add(30 * time.Second))
 	if len(e.endpoints)+len(e.departing) != 0 || len(e.destinations) != 5 || len(e.deps.HealthHistory) != 1 || f.destinationUpdates != updates {
-		t.Errorf("got %d endpoints, %d destinations, %d histories, %d updates; want 0, 5, 1, 0",
+		t.Errorf("after 30s: got %d endpoints, %d destinations, %d histories, %d updates, want 0, 5, 1, 0",
 			len(e.endpoints), len(e.destinations), len(e.deps.HealthHistory), f.destinationUpdates-updates)
 	}
 	if !f.destinations[3] {
-		t.Error("a destination without endpoints was evicted too early")
+		t.Error("a destination without endpoints was evicted before vacantRetention")
 	}
 	e.evict(now.Add(vacantRetention + time.Minute))
 	if f.destinations[3] || !f.destinations[4] || len(e.destinations) != 1 || len(e.deps.HealthHistory) != 0 {
-		t.Errorf("got %d destinations, %d histories; want only the destination with a Retry-After", len(e.destinations), len(e.deps.HealthHistory))
+		t.Errorf("after vacantRetention: got %d destinations, %d histories, want 1, 0: only the destination with a Retry-After", len(e.destinations), len(e.deps.HealthHistory))
 	}
 	e.evict(now.Add(vacantRetention + 3*time.Minute))
 	if f.destinations[4] || len(e.destinations)+len(e.vacant) != 0 {
-		t.Error("a destination without endpoints was not evicted")
+		t.Error("a destination without endpoints was not evicted after the end of its Retry-After")
 	}
 }
 
-// Invalid entries of the directory's list change nothing, and a draining endpoint closes to calls that still dial.
-func TestInvalidEntries(t *testing.T) {
+// Invalid entries of the directory's list have no effect. The gate of a draining endpoint closes, so that calls that are
+// still dialing are not sent.
+func TestInvalidEntriesAreIgnored(t *testing.T) {
 	e, _ := newEngine(policy.Settings{Kinds: []policy.Kind{{MaxBatch: 1}}, DrainGrace: 1})
 	invalid := member("s3", 3, directory.Active)
-	invalid.Kind = "unheard of"
+	invalid.Kind = "unknown"
 	got := e.applyList(directory.List{Complete: true, Members: []directory.Member{
 		member("s1", 3, directory.Active),
 		member("s2", 3, directory.Active), invalid, member("s4", 3, directory.Removed), member("s5", 3, "sleeping"),
@@ -322,36 +325,36 @@
 	}
 	got = e.applyList(directory.List{Complete: true, Members: []directory.Member{member("s1", 3, "sleeping"), member("s2", 3, directory.Draining)}})
 	if len(got.Entries) != 2 || got.Entries[0].State != policy.Ready || got.Entries[1].State != policy.Draining {
-		t.Errorf("got entries %+v, want s1 ready and s2 draining", got.Entries)
+		t.Errorf("got entries %+v, want s1 Ready and s2 Draining", got.Entries)
 	}
 	s1, s2 := e.endpoints[endpointID("s1")], e.endpoints[endpointID("s2")]
 	if s1.DrainGate.CloseScheduled() || !s2.DrainGate.CloseScheduled() {
-		t.Error("the gate of s1 must be open and that of s2 must close")
+		t.Errorf("got gates with scheduled closing %v and %v, want only that of s2", s1.DrainGate.CloseScheduled(), s2.DrainGate.CloseScheduled())
 	}
 	if s1.RetryAfterGate != s2.RetryAfterGate {
-		t.Error("endpoints of one destination that share a limit share its waits")
+		t.Error("endpoints of a destination with a shared limit have different Retry-After gates, want the same")
 	}
 }
 
-// The health history of another node counts for endpoints without an outcome here since.
-func TestHealthHistoryOfAnotherNode(t *testing.T) {
+// The health history of another node is adopted only for listed endpoints that have completed no call of this node since.
+func TestHealthHistoryAppliesToEndpointsWithoutLaterOutcome(t *testing.T) {
 	e, _ := newEngine(testSettings)
 	e.handle(EndpointsChanged{List: directory.List{Complete: true, Live: true, Members: []directory.Member{
-		member("known", 1, directory.Active), member("unheard", 1, directory.Active),
+		member("called", 1, directory.Active), member("uncalled", 1, directory.Active),
 	}}})
 	if len(e.endpoints) != 2 {
 		t.Fatalf("got %d endpoints, want 2", len(e.endpoints))
 	}
 	failed := time.Now()
-	e.handle(CompletedAttempt{Attempt: policy.AttemptCompleted{Endpoint: endpointID("known"), Outcome: policy.Delivered}})
+	e.handle(CompletedAttempt{Attempt: policy.AttemptCompleted{Endpoint: endpointID("called"), Outcome: policy.Delivered}})
 	e.batch = nil
-	e.handle(HealthHistory{"known": {FailedAt: failed}, "unheard": {FailedAt: failed}, "unlisted": {FailedAt: failed}})
-	if len(e.batch) != 1 || e.batch[0].(policy.HealthRestored).Endpoint != endpointID("unheard") || !e.batch[0].(policy.HealthRestored).Failed {
-		t.Errorf("got events %+v, want one for the endpoint unheard", e.batch)
+	e.handle(HealthHistory{"called": {FailedAt: failed}, "uncalled": {FailedAt: failed}, "unlisted": {FailedAt: failed}})
+	if len(e.batch) != 1 || e.batch[0].(policy.HealthRestored).Endpoint != endpointID("uncalled") || !e.batch[0].(policy.HealthRestored).Failed {
+		t.Errorf("got events %+v, want one for the endpoint uncalled", e.batch)
 	}
 }
 
-// The cost of an eviction follows the number of removed endpoints, here none.
+// BenchmarkEvict measures an eviction without removed endpoints, whose cost must not depend on the number of endpoints.
 func BenchmarkEvict(b *testing.B) {
 	for _, n := range []int{100, 100_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -369,13 +372,13 @@
 	}
 }
 
-// maxIdleBytes is what the engine may keep of an idle destination with two endpoints, names and addresses included,
-// without what the module and the admission keep.
+// maxIdleBytes is the maximum memory of the engine for an idle destination with two endpoints, including names and
+// addresses. It excludes the memory of the module and the admission.
 const maxIdleBytes = 440
 
-// The engine keeps little of an idle destination, and nothing of the list that it came with.
-func TestIdleDestinationIsSmall(t *testing.T) {
-	heap := func() int64 {
+// The engine uses little memory for an idle destination, and does not retain the endpoint list.
+func TestIdleDestinationUsesLittleMemory(t *testing.T) {
+	heapBytes := func() int64 {
 		runtime.GC()
 		runtime.GC()
 		var m runtime.MemStats
@@ -384,7 +387,7 @@
 	}
 	const n = 20_000
 	e, f := newEngine(testSettings)
-	before := heap()
+	before := heapBytes()
 	func() {
 		list := directory.List{Complete: true}
 		for i := range n {
@@ -396,12 +399,12 @@
 		}
 		e.handle(EndpointsChanged{List: list})
 	}()
-	e.batch = nil // the module's
+	e.batch = nil // excludes the memory of the module and the admission
 	f.destinations = nil
-	took := (heap() - before) / n
-	t.Logf("%d bytes for a destination", took)
-	if took > maxIdleBytes {
-		t.Errorf("got %d bytes for an idle destination, want %d at most", took, maxIdleBytes)
+	used := (heapBytes() - before) / n
+	t.Logf("%d bytes per destination", used)
+	if used > maxIdleBytes {
+		t.Errorf("got %d bytes per idle destination, want at most %d", used, maxIdleBytes)
 	}
 	if len(e.departing)+len(e.vacant) != 0 {
 		t.Errorf("got %d departing endpoints, %d vacant destinations, want none", len(e.departing), len(e.vacant))
@@ -409,16 +412,16 @@
 	runtime.KeepAlive(e)
 }
 
-// A list may name an endpoint twice, or have an entry that cannot be read: the last entry of an endpoint counts, and an
-// endpoint whose entry cannot be read stays as it was, also in a complete list.
-func TestRepeatedAndUnreadableEntries(t *testing.T) {
+// If a list has several entries for an endpoint, the last one applies. An endpoint with an unreadable entry is unchanged,
+// even if the list is complete.
+func TestLastEntryAppliesAndUnreadableEntryChangesNothing(t *testing.T) {
 	e, _ := newEngine(testSettings)
-	twice := member("s1", 7, directory.Active)
-	twice.HostPort = "127.0.0.1:2"
-	e.handle(EndpointsChanged{List: directory.List{Complete: true, Members: []directory.Member{member("s1", 7, directory.Active), twice, member("s2", 7, directory.Active)}}})
+	repeated := member("s1", 7, directory.Active)
+	repeated.HostPort = "127.0.0.1:2"
+	e.handle(EndpointsChanged{List: directory.List{Complete: true, Members: []directory.Member{member("s1", 7, directory.Active), repeated, member("s2", 7, directory.Active)}}})
 	s1, s2 := e.endpoints[endpointID("s1")], e.endpoints[endpointID("s2")]
 	if len(e.endpoints) != 2 || s1.addr != "127.0.0.1:2" || e.destinations[7].endpoints != 2 || e.destinations[7].present != 2 {
-		t.Fatalf("got endpoints %v, destination %+v", e.endpoints, e.destinations[7])
+		t.Fatalf("got endpoints %v, destination %+v, want s1 at 127.0.0.1:2 and s2", e.endpoints, e.destinations[7])
 	}
 	e.handle(EndpointsChanged{List: directory.List{Complete: true, Members: []directory.Member{
 		{ID: "s1", Phase: directory.Unreadable},
@@ -426,25 +429,25 @@
 		member("s2", 7, directory.Active), member("s2", 7, directory.Draining),
 	}}})
 	if s1.removed || s1.DrainGate.CloseScheduled() || s1.addr != "127.0.0.1:2" {
-		t.Errorf("an unreadable entry changed its endpoint: got %+v", s1)
+		t.Errorf("endpoint with an unreadable entry: got %+v, want it unchanged", s1)
 	}
 	if !s2.DrainGate.CloseScheduled() || len(e.endpoints) != 2 {
-		t.Errorf("the last entry of s2 was draining: got %+v", s2)
+		t.Errorf("endpoint whose last entry is draining: got %+v, want it draining", s2)
 	}
 	e.step(t.Context())
 }
 
-// Memory is in proportion to the number of endpoints: 1,100 cost a small part of a node's memory, and are evicted once
-// they are removed.
-func TestMemoryFollowsTheEndpoints(t *testing.T) {
-	heap := func() int64 {
+// Memory is proportional to the number of endpoints: 1,100 endpoints use a small part of a node's memory, and are evicted
+// after their removal.
+func TestMemoryIsProportionalToEndpoints(t *testing.T) {
+	heapBytes := func() int64 {
 		runtime.GC()
 		var m runtime.MemStats
 		runtime.ReadMemStats(&m)
 		return int64(m.HeapAlloc)
 	}
 	for _, n := range []int{3, 350, 1100} {
-		before := heap()
+		before := heapBytes()
 		e, _ := newEngine(testSettings)
 		all := directory.List{Complete: true}
 		for i := range n {
@@ -452,10 +455,10 @@
 		}
 		e.handle(EndpointsChanged{List: all})
 		e.step(t.Context())
-		took := heap() - before
-		t.Logf("%d endpoints: %d KB", n, took>>10)
-		if most := int64(2<<20 + n*8<<10); took > most {
-			t.Errorf("%d endpoints: got %d bytes, want %d at most", n, took, most)
+		used := heapBytes() - before
+		t.Logf("%d endpoints: %d KiB", n, used>>10)
+		if limit := int64(2<<20 + n*8<<10); used > limit {
+			t.Errorf("%d endpoints: got %d bytes, want at most %d", n, used, limit)
 		}
 		if len(e.endpoints) != n {
 			t.Fatalf("got %d endpoints, want %d", len(e.endpoints), n)
@@ -464,14 +467,14 @@
 		e.step(t.Context())
 		e.evict(time.Now())
 		if len(e.endpoints) != 0 {
-			t.Errorf("got %d removed endpoints, want none", len(e.endpoints))
+			t.Errorf("got %d endpoints after their removal, want none", len(e.endpoints))
 		}
 		runtime.KeepAlive(e)
 	}
 }
 
-// A removed endpoint whose entry has an unknown phase stays removed: the module sends nothing to it, and it is evicted
-// for good.
+// If an entry of a removed endpoint has an unknown phase, the endpoint stays removed: the module sends nothing to it, and
+// the endpoint is evicted.
 func TestUnknownPhaseKeepsRemovedEndpointRemoved(t *testing.T) {
 	for name, complete := range map[string]bool{"in a change": false, "in a complete list": true} {
 		t.Run(name, func(t *testing.T) {
@@ -485,12 +488,12 @@
 			update(false, directory.Removed)
 			update(complete, "sleeping")
 			if got := e.batch[len(e.batch)-1].(policy.EndpointUpdate).Entries[0].State; got != policy.Removed {
-				t.Errorf("entry of an unknown phase: got state %v, want Removed", got)
+				t.Errorf("entry with an unknown phase: got state %v, want Removed", got)
 			}
 			e.step(t.Context())
 			e.evict(time.Now())
 			if len(e.endpoints) != 0 {
-				t.Fatalf("got endpoints %v after the eviction, want none", e.endpoints)
+				t.Fatalf("after an eviction: got endpoints %v, want none", e.endpoints)
 			}
 			e.handle(MessageAccepted{Message: &message.Message{Seq: 1, ID: "a", Destination: 7, Deadline: time.Now().Add(20 * time.Second)}})
 			e.step(t.Context())
@@ -501,13 +504,13 @@
 	}
 }
 
-// Whatever the directory lists, evictions between it included, no call goes to an endpoint that is removed or not
-// tracked any more, and each action finds its endpoint.
+// For random lists, messages and evictions, no call goes to an endpoint that is removed or no longer tracked. Guards
+// against an action of the module for an endpoint that the engine has evicted.
 func TestNoCallToRemovedEndpoints(t *testing.T) {
 	const seeds, operations = 100, 60
 	phases := []string{directory.Active, directory.Active, directory.Draining, directory.Removed, "sleeping", directory.Unreadable}
 	settings := testSettings
-	settings.DrainGrace = time.Minute // an endpoint that drains gets calls if its destination has no other
+	settings.DrainGrace = time.Minute // a draining endpoint gets calls if its destination has no other endpoint
 	calls, evictions := 0, 0
 	for seed := range uint64(seeds) {
 		random := rand.New(rand.NewPCG(seed, 0))
@@ -533,7 +536,7 @@
 			e.step(t.Context())
 			for _, call := range f.calls {
 				if endpoint := e.endpoints[call.Endpoint.ID]; endpoint == nil || endpoint.removed {
-					t.Fatalf("seed %d: got a call to %s, which is removed", seed, call.Endpoint.Name)
+					t.Fatalf("seed %d: got a call to the removed endpoint %s, want none", seed, call.Endpoint.Name)
 				}
 				for _, part := range call.Parts {
 					e.handle(CompletedAttempt{Attempt: policy.AttemptCompleted{Message: part.Message.Seq, Attempt: part.Attempt, Endpoint: call.Endpoint.ID, Outcome: policy.Delivered, Final: true}})
@@ -541,11 +544,11 @@
 			}
 			calls += len(f.calls)
 			f.calls = nil
-			e.step(t.Context()) // the module knows of all, and an eviction may be next
+			e.step(t.Context()) // passes all events to the module before a possible eviction
 		}
 	}
 	if calls == 0 || evictions == 0 {
-		t.Errorf("got %d calls, %d evictions, want some of both", calls, evictions)
+		t.Errorf("got %d calls, %d evictions, want at least one of each", calls, evictions)
 	}
 	t.Logf("%d calls, %d evictions", calls, evictions)
 }
--- a/internal/engine/fleetlog_test.go
+++ b/internal/engine/fleetlog_test.go
@@ -13,18 +13,19 @@
 	"wingmount/policy"
 )
 
-// peerMessages sends no message.
-type peerMessages struct{}
+// discardMessenger discards messages to peers.
+type discardMessenger struct{}
 
-func (peerMessages) Send(policy.NotifyPeers) {}
+func (discardMessenger) Send(policy.NotifyPeers) {}
 
-// "wingmount fleet" counts what the engine logs: the words and fields of the lines, and the numbers of outcomes.
+// "wingmount fleet" must recognize the engine's debug lines. Guards against a changed message, field or outcome number in
+// the engine's log that the fleet log does not parse.
 func TestFleetLogCountsDebugLines(t *testing.T) {
 	var log bytes.Buffer
 	e, _ := newEngine(testSettings)
 	dependencies := e.deps
 	dependencies.Log = slog.New(slog.NewTextHandler(&log, &slog.HandlerOptions{Level: slog.LevelDebug}))
-	dependencies.PeerMessages = peerMessages{}
+	dependencies.PeerMessages = discardMessenger{}
 	e.Use(dependencies)
 	e.handle(EndpointsChanged{List: directory.List{Complete: true, Members: []directory.Member{member("s1", 7, directory.Active)}}})
 	for i := range 2 {
@@ -44,21 +45,21 @@
 	if err := counts.Read(&log); err != nil {
 		t.Fatal(err)
 	}
-	all := counts.Cell(fleetlog.Key{Destination: 7})
-	if all.Accepted != 2 || all.Calls != 1 || all.Sent != 2 || all.Undelivered != 1 {
-		t.Errorf("got %d accepted, %d calls, %d sent, %d undelivered; want 2, 1, 2, 1", all.Accepted, all.Calls, all.Sent, all.Undelivered)
+	total := counts.Cell(fleetlog.Key{Destination: 7})
+	if total.Accepted != 2 || total.Calls != 1 || total.Sent != 2 || total.Undelivered != 1 {
+		t.Errorf("got %d accepted, %d calls, %d sent, %d undelivered, want 2, 1, 2, 1", total.Accepted, total.Calls, total.Sent, total.Undelivered)
 	}
 	atEndpoint := counts.Cell(fleetlog.Key{Destination: 7, Endpoint: "s1"})
 	if atEndpoint.Calls != 1 {
 		t.Errorf("got %d calls to the endpoint, want 1", atEndpoint.Calls)
 	}
 	for _, outcome := range outcomes {
-		if all.Outcomes[outcome] != 1 || atEndpoint.Outcomes[outcome] != 1 {
-			t.Errorf("outcome %d: got %d, and %d at the endpoint, want 1 and 1", outcome, all.Outcomes[outcome], atEndpoint.Outcomes[outcome])
+		if total.Outcomes[outcome] != 1 || atEndpoint.Outcomes[outcome] != 1 {
+			t.Errorf("outcome %d: got %d in total, %d at the endpoint, want 1 and 1", outcome, total.Outcomes[outcome], atEndpoint.Outcomes[outcome])
 		}
 	}
 	var table strings.Builder
 	if err := counts.Write(&table, false); err != nil || !strings.Contains(table.String(), "1 logs, 1 notes told") {
-		t.Errorf("got error %v and table\n%s\nwant 1 message to peers in it", err, table.String())
+		t.Errorf("got error %v and table\n%s\nwant a table with 1 message to peers", err, table.String())
 	}
 }
--- a/internal/engine/stall_test.go
+++ b/internal/engine/stall_test.go
@@ -15,12 +15,13 @@
 	"wingmount/policy"
 )
 
-// stallingRecorder blocks the next step of the engine once stalls is set, until release is closed.
+// stallingRecorder is a StepLog that counts rejected and failed messages. If stall is set, it blocks the engine's next
+// step until release is closed.
 type stallingRecorder struct {
-	stalls     atomic.Bool
+	stall      atomic.Bool
 	release    chan struct{}
-	entered    chan struct{}
-	rejections atomic.Int64
+	entered    chan struct{} // closed when the step blocks
+	rejections atomic.Int64  // number of Reject and Fail actions
 }
 
 func (s *stallingRecorder) Step(_ policy.Time, _ []policy.Event, actions []policy.Action) {
@@ -30,13 +31,13 @@
 			s.rejections.Add(1)
 		}
 	}
-	if s.stalls.CompareAndSwap(true, false) {
+	if s.stall.CompareAndSwap(true, false) {
 		close(s.entered)
 		<-s.release
 	}
 }
 
-// deliveringCarrier delivers each message at once.
+// deliveringCarrier delivers each message immediately.
 type deliveringCarrier struct {
 	fakes
 	engine    *Engine
@@ -52,8 +53,9 @@
 	}()
 }
 
-// While the engine is stalled new messages are rejected before they are accepted, with a retry delay. Accepted ones are
-// delivered once it continues, and new ones are accepted again.
+// While the engine is stalled, new messages are rejected at ingress with a retry delay. When the engine continues, it
+// delivers all accepted messages, and new messages are accepted again. Guards against accepting messages that a stalled
+// engine can only reject or fail later.
 func TestStalledEngineRejectsBeforeAcceptance(t *testing.T) {
 	e, f := newEngine(testSettings)
 	registry := inflight.New(inflight.Config{Max: 1000, Admission: admission.New(admission.Settings{Weights: []float64{1}})})
@@ -78,11 +80,11 @@
 		}
 		return verdict, retry
 	}
-	eventually := func(what string, condition func() bool) {
+	eventually := func(description string, condition func() bool) {
 		t.Helper()
 		for deadline := time.Now().Add(testkit.EventuallyTimeout); !condition(); time.Sleep(time.Millisecond) {
 			if time.Now().After(deadline) {
-				t.Fatalf("%s: not in time", what)
+				t.Fatalf("timed out waiting until %s", description)
 			}
 		}
 	}
@@ -92,11 +94,11 @@
 			t.Fatalf("before the stall: got verdict %d, want Reserved", v)
 		}
 	}
-	eventually("all are delivered", func() bool { return registry.Count() == 0 })
-	recorder.stalls.Store(true)
+	eventually("all messages are delivered", func() bool { return registry.Count() == 0 })
+	recorder.stall.Store(true)
 	submit(next)
 	<-recorder.entered
-	eventually("one is rejected", func() bool {
+	eventually("a message is rejected", func() bool {
 		next++
 		verdict, retry := submit(next)
 		if verdict == inflight.Saturated && retry < 100*time.Millisecond {
@@ -106,11 +108,11 @@
 		return verdict == inflight.Saturated
 	})
 	close(recorder.release)
-	eventually("all that were accepted are delivered", func() bool { return registry.Count() == 0 })
+	eventually("all accepted messages are delivered", func() bool { return registry.Count() == 0 })
 	if n := recorder.rejections.Load(); n > 0 || int(calls.delivered.Load()) != accepted {
-		t.Errorf("%d accepted: got %d delivered, %d rejected, want all delivered", accepted, calls.delivered.Load(), n)
+		t.Errorf("%d messages accepted: got %d delivered, %d rejected or failed, want all delivered", accepted, calls.delivered.Load(), n)
 	}
-	eventually("one is accepted again", func() bool {
+	eventually("a message is accepted again", func() bool {
 		next++
 		verdict, _ := submit(next)
 		return verdict == inflight.Reserved
