--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -38,7 +38,7 @@
 	Kind        string  `json:"flavor"`    // name of the destination's kind
 	Destination int     `json:"cell"`      // number of the destination
 	Phase       string  `json:"phase"`
-	Size        float64 `json:"size"` // rate limit in calls per second; see policy.Settings.Listing
+	Size        float64 `json:"size"` // rate in calls per second; see policy.Settings.RateAccuracy
 }
 
 // MaxPlatformDestination is the highest destination number in the platform's list.
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -97,8 +97,8 @@
 	}
 }
 
-// Messages of one step to the same endpoint share a call, up to the maximum of the endpoint's kind. The time limit of the
-// call is the earliest deadline of its messages.
+// Messages of one step to the same endpoint share a call, up to the maximum of the endpoint's kind. The call ends
+// no later than the earliest deadline of its messages.
 func TestMessagesOfOneStepShareACall(t *testing.T) {
 	e, f := newEngine(testSettings)
 	e.handle(EndpointsChanged{List: directory.List{Complete: true, Members: []directory.Member{member("s1", 7, directory.Active)}}})
--- a/internal/estimate/estimate.go
+++ b/internal/estimate/estimate.go
@@ -25,7 +25,7 @@
 
 // Latency estimates the latency of responses by moving averages.
 type Latency struct {
-	Mean      time.Duration // set it to an initial estimate
+	Mean      time.Duration // initially an estimate that the caller sets
 	Deviation time.Duration // mean absolute deviation from Mean
 	Baseline  time.Duration // slow moving average, 0 before the first response
 	observed  bool
--- a/internal/inflight/registry.go
+++ b/internal/inflight/registry.go
@@ -216,7 +216,8 @@
 	return exists, r.complete
 }
 
-// DestinationsKnown reports whether any list of destinations has arrived, so that unknown destinations can be detected.
+// DestinationsKnown reports whether messages to unknown destinations can be detected. This is so if the registry contains
+// a destination or a complete set.
 func (r *Registry) DestinationsKnown() bool {
 	r.lock()
 	defer r.mu.Unlock()
