--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -45,7 +45,7 @@
 	logPeerMessage = "note"
 )
 
-// Engine runs the decision module. Create one with [New], and call [Engine.Use] before [Engine.Run].
+// Engine runs the decision module. Create one with [New], and call [Engine.SetDependencies] before [Engine.Run].
 type Engine struct {
 	deps           Dependencies
 	sender         *policy.Sender
@@ -71,7 +71,7 @@
 	observations []admission.Observation // not yet reported to the admission
 }
 
-// New returns an engine without dependencies. Use sets them.
+// New returns an engine without dependencies.
 func New(c Config) *Engine {
 	return &Engine{
 		sender:         policy.New(c.Settings, c.Seed),
@@ -87,8 +87,9 @@
 	}
 }
 
-// Use sets the dependencies of an engine, before Run. They are created after the engine because they post events to it.
-func (e *Engine) Use(d Dependencies) {
+// SetDependencies sets the dependencies of an engine. It must be called before Run. The dependencies are created after the
+// engine because they post events to it.
+func (e *Engine) SetDependencies(d Dependencies) {
 	e.deps = d
 	if e.debug = d.Log.Enabled(context.Background(), slog.LevelDebug); e.debug {
 		e.deps.Log.Debug("settings", "settings", fmt.Sprintf("%+v", e.settings))
--- a/internal/node/run.go
+++ b/internal/node/run.go
@@ -32,7 +32,7 @@
 
 // run serves until the context ends, stops in order, and closes the store.
 func (n *node) run(ctx context.Context, known directory.List) error {
-	n.engine.Use(n.dependencies)
+	n.engine.SetDependencies(n.dependencies)
 	// The parts run until the node has stopped, which is later than the end of ctx.
 	running, endAll := context.WithCancel(context.Background())
 	var parts sync.WaitGroup
