--- a/policy/assignedrate_test.go
+++ b/policy/assignedrate_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-// assignedSender drives a sender with an assigned rate on virtual time. Its only destination responds at once.
+// assignedSender drives a sender with an assigned rate in virtual time. Its only destination responds at once.
 type assignedSender struct {
 	sender      *Sender
 	now         Time
@@ -76,7 +76,7 @@
 	}
 }
 
-// maxInWindow returns the maximum number of calls in any window of a length, not counting calls before a time.
+// maxInWindow returns the maximum number of calls since from in any period of length window.
 func (s *assignedSender) maxInWindow(window time.Duration, from Time) (most int) {
 	first := 0
 	for i, at := range s.sent {
@@ -99,7 +99,7 @@
 }
 
 // An assigned rate must be used fully, since no other sender may use it, and never exceeded, since other senders use the
-// rest of the limit. Low rates and rates with a fraction are hard: a window contains a whole number of calls. Neither
+// rest of the limit. Low rates and rates with a fraction are hard: a window contains an integer number of calls. Neither
 // window may contain more calls than the rate allows, with the calls of a narrow window rounded up to an integer.
 func TestAssignedRateIsFullyUsedAndNotExceeded(t *testing.T) {
 	for _, rate := range []float64{0.1, 0.24, 0.4, 0.75, 1, 5.0 / 3, 2.5, 10, 20.0 / 3, 33.3, 90} {
--- a/policy/circuit.go
+++ b/policy/circuit.go
@@ -31,18 +31,18 @@
 
 // circuitBreaker is the circuit breaker of one endpoint. It is closed until failures open it, and open until
 // a success or a peer's report closes it. While it is open only probes are sent. An endpoint whose last call
-// failed is suspect, whether its circuit is open or closed: it gets one call at a time. This suspicion
-// differs from those in decide/membership, of a node, and in decide/evidence, of an endpoint by reports of
-// peers.
+// failed is suspect, whether its circuit is open or closed: it gets one call at a time. A suspect endpoint is
+// unrelated to a suspect node in decide/membership, and to an endpoint that decide/evidence suspects because
+// of peers' reports.
 type circuitBreaker struct {
-	suspect        bool // the last outcome was a failure, and no peer has reported a recovery since
-	open           bool // during an outage
-	probeLeader    bool // this sender reported the outage to the others, and probes for all
-	sawError       bool // an error since the last success; timeouts and resets are not errors
-	openedAt       Time
-	unhealthySince Time // time of the first failure seen or reported since it was healthy, or 0
-	lastSuccessAt  Time // or 0
-	failureScore   float64
+	suspect           bool // the last outcome was a failure, and no peer has reported a recovery since
+	open              bool // during an outage
+	probeLeader       bool // this sender reported the outage to the others, and probes for all
+	errorSinceSuccess bool // timeouts and resets are not errors
+	openedAt          Time
+	unhealthySince    Time // time of the first failure seen or reported since it was healthy, or 0
+	lastSuccessAt     Time // or 0
+	failureScore      float64
 
 	consecutiveTimeouts   int
 	consecutiveRejections int  // by a rate limit; without a quota only of calls sent after the last one
@@ -56,13 +56,13 @@
 	c.unhealthySince = cmp.Or(c.unhealthySince, now)
 	c.failureScore += weight * (1 - c.failureScore)
 	if !connectionOnly {
-		c.sawError = true
+		c.errorSinceSuccess = true
 	}
 }
 
 // recordSuccess applies a success. It does not close the circuit: see Sender.recordSuccess.
 func (c *circuitBreaker) recordSuccess(now Time) {
-	c.suspect, c.sawError, c.lastSuccessAt = false, false, now
+	c.suspect, c.errorSinceSuccess, c.lastSuccessAt = false, false, now
 	c.consecutiveTimeouts, c.consecutiveRejections = 0, 0
 	c.rejections.RecordSuccess(now)
 	c.failureScore *= scoreDecay
@@ -76,7 +76,7 @@
 
 // restore opens the circuit of an endpoint that had failed and not recovered when the node restarted.
 func (c *circuitBreaker) restore(now, failedAt Time) {
-	c.open, c.suspect, c.sawError, c.openedAt, c.failureScore = true, true, true, now, openScore
+	c.open, c.suspect, c.errorSinceSuccess, c.openedAt, c.failureScore = true, true, true, now, openScore
 	c.unhealthySince = cmp.Or(c.unhealthySince, failedAt)
 }
 
@@ -144,7 +144,8 @@
 }
 
 // recordRejection applies a rejection by a rate limit to the path, and also to the health of the endpoint if
-// it indicates an outage. The rejections before a long Retry-After then give no information about the limit.
+// it indicates an outage. The rejections before a long Retry-After give no information about the limit, so
+// their cuts are undone.
 func (s *Sender) recordRejection(c *call, retryAfter time.Duration) {
 	e := c.endpoint
 	s.recordRateLimit(e, c.sentAt, retryAfter)
@@ -218,13 +219,12 @@
 	}
 }
 
-// presumedDown reports whether a single error is treated as an outage: if the last success is too old to
-// refute it, and no reports of peers arrive that could. Hundreds of senders that saw one failure each may
-// then make a next call. This sender makes its next call without opening the circuit only if its ramp budget
-// is at least one call.
+// presumedDown reports whether a single error is treated as an outage: if no recent success and no report of
+// a peer contradicts it, and the ramp budget is less than one call. Otherwise hundreds of senders with one
+// failure each would all make a next call.
 func (s *Sender) presumedDown(e *endpoint) bool {
 	noRecentSuccess := s.now-e.circuit.lastSuccessAt >= outageWindows*s.settings.OverloadWindow
-	return e.circuit.sawError && noRecentSuccess && !s.receivesReports() &&
+	return e.circuit.errorSinceSuccess && noRecentSuccess && !s.receivesReports() &&
 		s.rampBudget(e, s.warmUpFactor(s.now)) < 1
 }
 
@@ -240,7 +240,7 @@
 	e.path.limiter.quota.UndoRecentCuts(s.now)
 }
 
-// closeCircuit ends the outage of an endpoint, and starts a recovery ramp for PeerSlowStart.
+// closeCircuit ends the outage of an endpoint, and starts a recovery ramp if event is PeerSlowStart.
 func (s *Sender) closeCircuit(e *endpoint, event PeerEvent) {
 	e.circuit.open = false
 	if event == PeerSlowStart {
@@ -254,7 +254,7 @@
 	p, l := e.path, &e.path.limiter
 	if e.circuit.open {
 		event := PeerRecovered // a few lost calls between two successes are not an outage
-		if e.circuit.sawError || !s.answeredRecently(e) {
+		if e.circuit.errorSinceSuccess || !s.answeredRecently(e) {
 			event = PeerSlowStart
 		}
 		s.reportToPeers(e, event)
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -21,7 +21,7 @@
 	seed       uint64
 }
 
-// fleet simulates many senders of one destination on virtual time. The destination has a rate limit: a token bucket
+// fleet simulates many senders of one destination in virtual time. The destination has a rate limit: a token bucket
 // that rejected calls drain as well. The simulation has no network, no control process and one destination, so that a
 // test of many nodes takes little time. Clusters with faults are simulated by internal/simulation; extend that one if
 // needed.
@@ -117,7 +117,7 @@
 	heap.Init(&f.events)
 }
 
-// offer simulates a time in which messages arrive at random nodes, at a rate a second.
+// offer simulates a period in which messages arrive at random nodes, at a rate in messages a second.
 func (f *fleet) offer(rate float64, during time.Duration) {
 	for at := f.now; ; {
 		at += time.Duration(f.rng.ExpFloat64() / rate * float64(time.Second))
@@ -290,9 +290,9 @@
 	}
 }
 
-// Conditions that make the estimate of the limit wrong: most nodes stop and restart, one node gets half of the
-// traffic, the limit is far below one call per window for each node, or it falls and rises repeatedly. After each, a
-// minimum part of the limit must be used, and a bounded part of the calls rejected.
+// The estimate of the limit is wrong if most nodes stop and restart, one node gets half of the traffic, the limit is far
+// below one call per window for each node, or it falls and rises repeatedly. After each of these disruptions a minimum
+// part of the limit must be used, and a bounded part of the calls may be rejected.
 func TestFleetAfterDisruptionUsesLimit(t *testing.T) {
 	const nodes = 80
 	for _, c := range []struct {
--- a/policy/idle_test.go
+++ b/policy/idle_test.go
@@ -64,7 +64,7 @@
 	}
 }
 
-// A destination that has had a message keeps its traffic and health. Their memory must be bounded.
+// A destination that has had a message retains its measurements of calls (traffic, health). Their memory must be bounded.
 func TestUsedDestinationMemoryIsBounded(t *testing.T) {
 	const n, maxUsedBytes = 20_000, 1_200
 	set := testSettings()
--- a/policy/peers.go
+++ b/policy/peers.go
@@ -4,7 +4,7 @@
 	"time"
 )
 
-// peerReports holds the times of the last reports from and to the other senders.
+// peerReports contains the times of the last reports from and to the other senders.
 type peerReports struct {
 	lastReceivedAt, lastSentAt Time // or 0
 }
@@ -68,8 +68,8 @@
 	}
 }
 
-// applyOutageReport opens the circuit of an endpoint, unless this sender has just had a success. It leaves
-// probes to the reporting peer for at least probeDelay. After that this sender sends rare probes of its own,
+// applyOutageReport opens the circuit of an endpoint, unless this sender has just had a success. For at least
+// probeDelay only other senders probe the endpoint. After that this sender sends rare probes of its own,
 // because reports get lost.
 func (s *Sender) applyOutageReport(e *endpoint, probeDelay time.Duration) {
 	c := &e.circuit
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -56,8 +56,8 @@
 	return h.step(Arrived{Message: h.id, Class: class, GiveUpAt: h.now + h.s.settings.Classes[class].Deadline})
 }
 
-// finish completes the oldest outstanding attempt.
-func (h *harness) finish(o Outcome, retryAfter time.Duration) []Action {
+// complete completes the oldest outstanding attempt.
+func (h *harness) complete(o Outcome, retryAfter time.Duration) []Action {
 	h.t.Helper()
 	if len(h.outstanding) == 0 {
 		h.t.Fatal("got no outstanding attempt to complete")
@@ -154,15 +154,15 @@
 	p := h.path()
 	for range 3 {
 		h.arrive(1)
-		h.finish(Delivered, 0)
+		h.complete(Delivered, 0)
 	}
 	h.arrive(1)
-	h.finish(RateLimited, 0)
+	h.complete(RateLimited, 0)
 	if p.limiter.allotment != 4 {
 		t.Fatalf("got allotment %v after the first rejection, want the narrow count 4", p.limiter.allotment)
 	}
 	h.wait(3 * time.Second)
-	h.finish(RateLimited, 0)
+	h.complete(RateLimited, 0)
 	if want := 4 * allotmentPerRepeatedRejection; math.Abs(p.limiter.allotment-want) > 1e-9 {
 		t.Errorf("got allotment %v after a rejection right after another, want %v", p.limiter.allotment, want)
 	}
@@ -170,7 +170,7 @@
 	// The wide window still counts the calls that the larger allotment allowed.
 	p.limiter.wide = container.Window{Span: p.limiter.wide.Span}
 	h.wait(4 * time.Second)
-	h.finish(RateLimited, 0)
+	h.complete(RateLimited, 0)
 	if p.limiter.allotment < 1/float64(h.s.settings.Senders) {
 		t.Errorf("got allotment %v, want at least one call for all senders together", p.limiter.allotment)
 	}
@@ -181,14 +181,14 @@
 	p := h.path()
 	p.limiter.allotment = 5
 	h.arrive(0)
-	h.finish(Delivered, 0)
+	h.complete(Delivered, 0)
 	if p.limiter.allotment != 5 {
 		t.Errorf("got allotment %v after a success that did not exhaust it, want 5 as before", p.limiter.allotment)
 	}
 	p.limiter.allotment = 1
 	h.wait(3 * time.Second)
 	h.arrive(0)
-	h.finish(Delivered, 0)
+	h.complete(Delivered, 0)
 	if math.Abs(p.limiter.allotment-1-maxAllotmentGrowth) > 1e-9 {
 		t.Errorf("got allotment %v after a success that exhausted it, want %v", p.limiter.allotment, 1+maxAllotmentGrowth)
 	}
@@ -211,7 +211,7 @@
 func TestRetryAfterPausesDestination(t *testing.T) {
 	h := newHarness(t, testSettings(), testDestination{endpoints: 2})
 	h.arrive(0)
-	h.finish(RateLimited, time.Second)
+	h.complete(RateLimited, time.Second)
 	h.arrive(0)
 	h.wait(time.Second - 1)
 	if len(h.outstanding) != 0 {
@@ -231,8 +231,8 @@
 	h.arrive(1)
 	h.arrive(1)
 	h.wait(time.Millisecond)
-	h.finish(TimedOut, 0)
-	h.finish(RateLimited, 3*time.Second)
+	h.complete(TimedOut, 0)
+	h.complete(RateLimited, 3*time.Second)
 	if until := h.path().limiter.blockedUntil; until < h.now+3*time.Second {
 		t.Errorf("got a path blocked until %v, want at least 3 s after %v", until, h.now)
 	}
@@ -242,7 +242,7 @@
 	h := newHarness(t, testSettings(), testDestination{kind: 2, endpoints: 2})
 	h.arrive(0)
 	first := h.outstanding[0].Endpoint
-	h.finish(RateLimited, 2*time.Second)
+	h.complete(RateLimited, 2*time.Second)
 	if len(h.outstanding) != 1 || h.outstanding[0].Endpoint == first {
 		t.Errorf("got sends %v after Retry-After of route %d, want the other route", h.outstanding, first)
 	}
@@ -327,12 +327,12 @@
 	}
 	for h.path().endpoints[0].circuit.open == false || h.path().endpoints[1].circuit.open == false {
 		if len(h.outstanding) > 0 {
-			h.finish(Unreachable, 0)
+			h.complete(Unreachable, 0)
 		}
 		h.wait(50 * time.Millisecond)
 	}
 	for len(h.outstanding) > 0 {
-		h.finish(Unreachable, 0)
+		h.complete(Unreachable, 0)
 	}
 	sends := 0
 	for range 100 { // 10 s
@@ -342,7 +342,7 @@
 			t.Fatalf("got %d probes at once, want 1", len(h.outstanding))
 		}
 		for len(h.outstanding) > 0 {
-			h.finish(Unreachable, 0)
+			h.complete(Unreachable, 0)
 		}
 		h.arrive(0)
 	}
@@ -357,12 +357,12 @@
 	h := newHarness(t, testSettings(), testDestination{endpoints: 1})
 	p, e := h.path(), h.path().endpoints[0]
 	p.successes.Peak = 24 // accepted calls of this sender in its best narrow window before the outage
-	e.circuit.open, e.circuit.sawError, e.circuit.openedAt, e.circuit.unhealthySince = true, true, h.now-10*time.Second, h.now-10*time.Second
+	e.circuit.open, e.circuit.errorSinceSuccess, e.circuit.openedAt, e.circuit.unhealthySince = true, true, h.now-10*time.Second, h.now-10*time.Second
 	e.circuit.failureScore = 1
 	for range 30 {
 		h.arrive(1)
 	}
-	h.finish(Delivered, 0) // the probe
+	h.complete(Delivered, 0) // the probe
 	if !e.ramp.active {
 		t.Fatal("got no recovery ramp after a successful probe, want one")
 	}
@@ -371,7 +371,7 @@
 	for h.now < start+2*set.OverloadWindow {
 		for len(h.outstanding) > 0 {
 			sent = append(sent, h.now)
-			h.finish(Delivered, 0)
+			h.complete(Delivered, 0)
 		}
 		n := 0
 		for _, at := range sent {
@@ -399,10 +399,10 @@
 // endpoint. A success must start a ramp only after errors, or after a long time without a success.
 func TestRecoveryRampStartsOnlyAfterOutage(t *testing.T) {
 	for _, c := range []struct {
-		name             string
-		sawError         bool
-		sinceLastSuccess time.Duration
-		rampActive       bool
+		name              string
+		errorSinceSuccess bool
+		sinceLastSuccess  time.Duration
+		rampActive        bool
 	}{
 		{"a few lost calls", false, time.Second, false},
 		{"no success for long", false, 10 * time.Second, true},
@@ -411,7 +411,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			h := newHarness(t, testSettings(), testDestination{endpoints: 1})
 			e := h.path().endpoints[0]
-			e.circuit.open, e.circuit.sawError, e.circuit.lastSuccessAt = true, c.sawError, h.now-c.sinceLastSuccess
+			e.circuit.open, e.circuit.errorSinceSuccess, e.circuit.lastSuccessAt = true, c.errorSinceSuccess, h.now-c.sinceLastSuccess
 			h.s.recordSuccess(e, 100*time.Millisecond)
 			if e.ramp.active != c.rampActive {
 				t.Errorf("got ramp active %v, want %v", e.ramp.active, c.rampActive)
@@ -424,7 +424,7 @@
 	h := newHarness(t, testSettings(), testDestination{endpoints: 1})
 	h.path().limiter.allotment = 5
 	h.arrive(0)
-	h.finish(RateLimited, 4*time.Second)
+	h.complete(RateLimited, 4*time.Second)
 	if e := h.path().endpoints[0]; !e.circuit.open {
 		t.Error("got a closed circuit after a Retry-After longer than a window, want it open")
 	}
@@ -445,7 +445,7 @@
 		h.arrive(0)
 		for len(h.outstanding) > 0 {
 			probed = probed || h.outstanding[0].Endpoint == e.id
-			h.finish(Delivered, 0)
+			h.complete(Delivered, 0)
 		}
 		h.wait(100 * time.Millisecond)
 	}
@@ -458,7 +458,7 @@
 	h := newHarness(t, testSettings(), testDestination{endpoints: 2})
 	h.arrive(0)
 	first := h.outstanding[0].Endpoint
-	h.finish(Failed, 0)
+	h.complete(Failed, 0)
 	h.wait(backoffBase)
 	if len(h.outstanding) != 1 || h.outstanding[0].Endpoint == first {
 		t.Errorf("got sends %v, want one to an endpoint other than %d", h.outstanding, first)
@@ -468,7 +468,7 @@
 func TestTimeoutGrowsWithBatchSizeAndConsecutiveTimeouts(t *testing.T) {
 	h := newHarness(t, testSettings(), testDestination{kind: 1, endpoints: 1})
 	h.arrive(1)
-	h.finish(Delivered, 0)
+	h.complete(Delivered, 0)
 	p, e := h.path(), h.path().endpoints[0]
 	p.latency.Mean, p.latency.Deviation = time.Second, time.Second
 	m := &message{class: &h.s.settings.Classes[1]}
@@ -507,13 +507,13 @@
 			}
 			h.outstanding[0], h.outstanding[1] = h.outstanding[1], h.outstanding[0]
 			h.now += h.s.settings.Tick
-			h.finish(Delivered, 0) // the second call
-			h.finish(o, 0)
+			h.complete(Delivered, 0) // the second call
+			h.complete(o, 0)
 			if e.circuit.open || e.circuit.suspect || e.ramp.active || e.circuit.failureScore > 0 {
 				t.Fatalf("got a failure recorded for the endpoint after outcome %v of a lost call, want none", o)
 			}
 			h.wait(backoffMax)
-			h.finish(Delivered, 0)
+			h.complete(Delivered, 0)
 		}
 	}
 }
@@ -524,14 +524,14 @@
 	h := newHarness(t, testSettings(), testDestination{endpoints: 1})
 	e := h.path().endpoints[0]
 	h.arrive(0)
-	h.finish(Delivered, 0)
+	h.complete(Delivered, 0)
 	for range 2 {
 		h.now += outageWindows * h.s.settings.OverloadWindow
 		h.arrive(0)
 		if e.circuit.open {
 			t.Fatal("got an open circuit after at most one timeout, want it closed")
 		}
-		h.finish(TimedOut, 0)
+		h.complete(TimedOut, 0)
 	}
 	if !e.circuit.open {
 		t.Error("got a closed circuit after two timeouts without a recent success, want it open")
@@ -613,14 +613,14 @@
 func TestResetIsProbedAtOnceAndStartsNoRamp(t *testing.T) {
 	h := newHarness(t, testSettings(), testDestination{endpoints: 1})
 	h.arrive(0)
-	h.finish(Delivered, 0)
+	h.complete(Delivered, 0)
 	h.arrive(0)
-	h.finish(Reset, 0)
+	h.complete(Reset, 0)
 	h.wait(backoffBase)
 	if len(h.outstanding) != 1 {
 		t.Fatalf("got %d sends after the backoff, want a probe at once", len(h.outstanding))
 	}
-	h.finish(Delivered, 0)
+	h.complete(Delivered, 0)
 	if h.path().endpoints[0].ramp.active {
 		t.Error("got a recovery ramp after one reset between two successes, want none")
 	}
@@ -640,15 +640,15 @@
 			t.Fatalf("got a failure recorded after a reset of a stale connection, want none: %+v", e)
 		}
 		h.wait(backoffMax)
-		h.finish(Delivered, 0)
+		h.complete(Delivered, 0)
 	}
 	h.arrive(0)
-	h.finish(Reset, 0)
+	h.complete(Reset, 0)
 	if !e.circuit.suspect || e.circuit.open {
 		t.Errorf("got suspect %v, open %v after one reset, want a suspect with a closed circuit", e.circuit.suspect, e.circuit.open)
 	}
 	h.wait(backoffMax)
-	h.finish(Reset, 0)
+	h.complete(Reset, 0)
 	if !e.circuit.open {
 		t.Error("got a closed circuit after two resets in a row, want it open")
 	}
@@ -665,13 +665,13 @@
 	if len(h.outstanding) != 1 {
 		t.Fatal("got no send of the idempotent message to a suspect endpoint, want one")
 	}
-	h.finish(Delivered, 0)
+	h.complete(Delivered, 0)
 	if len(h.outstanding) != 1 {
 		t.Error("got an AtMostOnce message that still waits after a success, want it sent")
 	}
 }
 
-// After an outage a single endpoint may have recovered. If it got the ramp budget of the whole path it would be
+// After an outage a single endpoint may have recovered. If it got the full ramp budget of the path it would be
 // overloaded. It must get only its share, even after the other endpoints have been removed.
 func TestRecoveredEndpointGetsItsShareOfRampBudget(t *testing.T) {
 	h := newHarness(t, testSettings(), testDestination{endpoints: 4})
@@ -690,13 +690,13 @@
 func TestTimeoutClosesIdleConnections(t *testing.T) {
 	h := newHarness(t, testSettings(), testDestination{endpoints: 1})
 	h.arrive(0)
-	if n := countActions[CloseIdle](h.finish(TimedOut, 0)); n != 1 {
+	if n := countActions[CloseIdle](h.complete(TimedOut, 0)); n != 1 {
 		t.Errorf("got %d CloseIdle actions after a timeout, want 1", n)
 	}
 }
 
-// An endpoint that is added during an outage may be a replacement that is still warming up. With a closed circuit it
-// would get the whole queue at once. It must be probed first.
+// An endpoint that is added during an outage may be a replacement that is still warming up. If its circuit were closed, it
+// would get the full queue at once. It must be probed first.
 func TestEndpointAddedDuringOutageIsProbedFirst(t *testing.T) {
 	for _, state := range []EndpointState{Ready, Draining, Removed} {
 		h := newHarness(t, testSettings(), testDestination{endpoints: 1})
@@ -803,7 +803,7 @@
 func TestOutageAndRecoveryAreReported(t *testing.T) {
 	h := newHarness(t, reportingSettings(), testDestination{endpoints: 1})
 	h.arrive(0)
-	reports := h.finish(Unreachable, 0)
+	reports := h.complete(Unreachable, 0)
 	if countActions[NotifyPeers](reports) != 1 {
 		t.Fatalf("got %d reports of an outage, want 1", countActions[NotifyPeers](reports))
 	}
@@ -834,7 +834,7 @@
 	h := newHarness(t, testSettings(), testDestination{endpoints: 1})
 	e := h.path().endpoints[0]
 	h.arrive(0)
-	h.finish(Unreachable, 0)
+	h.complete(Unreachable, 0)
 	nextProbeAt := e.path.nextProbeAt
 	if h.step(PeerMessage{Endpoint: e.id, Event: PeerDown}); !e.circuit.open || e.path.nextProbeAt != nextProbeAt {
 		t.Errorf("got circuit open %v and the probe moved from %v to %v by a report of a known outage, want an open circuit and no change", e.circuit.open, nextProbeAt, e.path.nextProbeAt)
@@ -845,7 +845,7 @@
 	c := newHarness(t, testSettings(), testDestination{endpoints: 1})
 	e = c.path().endpoints[0]
 	c.arrive(0)
-	c.finish(Delivered, 0)
+	c.complete(Delivered, 0)
 	if c.step(PeerMessage{Endpoint: e.id, Event: PeerDown, ProbeDelay: time.Minute}); e.circuit.open {
 		t.Error("got an open circuit by a report right after a success, want it closed")
 	}
@@ -857,7 +857,7 @@
 func TestCongestionIsReportedOnceAndPausesThePath(t *testing.T) {
 	h := newHarness(t, reportingSettings(), testDestination{endpoints: 1})
 	h.arrive(1)
-	if n := countActions[NotifyPeers](h.finish(RateLimited, 0)); n != 1 {
+	if n := countActions[NotifyPeers](h.complete(RateLimited, 0)); n != 1 {
 		t.Errorf("got %d reports of a rejection below one call a window, want 1", n)
 	}
 	p := h.path()
@@ -876,7 +876,7 @@
 	if h.arrive(1); len(h.outstanding) != 1 {
 		t.Fatal("got no immediate send of a single message without a limit, want one")
 	}
-	h.finish(Delivered, 0)
+	h.complete(Delivered, 0)
 	h.s.setAllotment(&h.path().limiter, 3)
 	h.wait(2 * time.Second)
 	if h.arrive(1); len(h.outstanding) != 0 {
--- a/policy/probe.go
+++ b/policy/probe.go
@@ -6,8 +6,9 @@
 	"wingmount/internal/estimate"
 )
 
-// suspectSlotDivisor gives the limit on messages in calls to suspect endpoints: another call to such an
-// endpoint starts only while they are fewer than the slots divided by it. See mayCallSuspects.
+// Another call to a suspect endpoint starts only while the messages in such calls are fewer than
+// 1/suspectSlotDivisor of the slots, or fewer than half of them while half of all slots are idle: see
+// mayCallSuspects.
 const suspectSlotDivisor = 4
 
 // unknownCount marks a count that must be computed again.
@@ -37,7 +38,7 @@
 }
 
 // inheritOutage opens the circuit of an endpoint that is added to a path whose ready endpoints all have open
-// circuits. The new endpoint may be a replacement that is still warming up and must not get the whole backlog
+// circuits. The new endpoint may be a replacement that is still warming up and must not get the full backlog
 // of the outage, so it is probed first.
 func (s *Sender) inheritOutage(e *endpoint) {
 	anyOpen := false
@@ -51,7 +52,7 @@
 }
 
 // mayCallSuspects reports whether one more call to an endpoint that is suspect or whose circuit is open may
-// start. Most slots stay free for healthy endpoints, even if many calls to others hang. While half of the
+// start. Most slots stay free for healthy endpoints, even if many calls to the others hang. While half of the
 // slots are idle, calls to suspect endpoints may use up to half of all slots: single calls get lost anywhere,
 // so an endpoint that is suspect is often healthy.
 func (s *Sender) mayCallSuspects() bool {
--- a/policy/queue.go
+++ b/policy/queue.go
@@ -8,9 +8,8 @@
 // maxSpareBacklogs is the maximum number of backlogs that are kept for reuse.
 const maxSpareBacklogs = 1024
 
-// minPlainTicks is the number of ticks before its give-up time at which a message is no longer plain. A plain
-// message has no key, no earlier attempt, and more time left than that. The plain messages of a class
-// therefore differ only by age.
+// minPlainTicks is the minimum time left, in ticks, of a plain message. A plain message also has no key and
+// no earlier attempt. The plain messages of a class therefore differ only by age.
 const minPlainTicks = 3
 
 // message is one message, from its arrival until it is done and no attempt at it is outstanding.
@@ -49,7 +48,7 @@
 	recorded   bool // an outcome has been applied to the endpoint's health
 }
 
-// backlog holds the unfinished messages of a destination.
+// backlog contains the unfinished messages of a destination.
 type backlog struct {
 	outstanding int                       // number of outstanding calls
 	queue       container.Queue[*message] // without an outstanding attempt; see minPlainTicks for plain ones
@@ -60,7 +59,7 @@
 	shedCandidate candidate   // see findShedCandidate
 }
 
-// messageQueues holds the messages of all destinations, with the indexes that a step uses.
+// messageQueues contains the messages of all destinations, with the indexes that a step uses.
 type messageQueues struct {
 	messages map[MessageID]*message
 	keys     container.KeyQueues[*message] // messages with an ordered key
--- a/policy/ratelimit.go
+++ b/policy/ratelimit.go
@@ -29,8 +29,8 @@
 	// maxAllotmentGrowth limits the growth by a success, as a fraction of the allotment: many senders with
 	// small allotments would otherwise exceed the limit together between two rejections.
 	maxAllotmentGrowth = 0.12
-	// callSpacing is the gap between calls under an allotment, as a fraction of the even gap: a destination
-	// that accepts calls at a steady rate would reject a whole window of calls sent at the same time.
+	// callSpacing is the gap between calls under an allotment, as a fraction of the window divided by the
+	// allotment. A destination that accepts calls at a steady rate would reject calls sent at the same time.
 	callSpacing = 0.8
 
 	// rejectionsToMinAllotment is the number of rejections that reduce an allotment of one call to the
@@ -40,8 +40,8 @@
 	successesPerRejection    = 3
 	// jitterSpread is the maximum difference between a jitter factor and 1.
 	jitterSpread = 0.5
-	// minSendersForQuotas is the minimum number of senders for shared quotas, with which senders report
-	// rejections to each other. With that many, a sender on its own would learn a limit too late.
+	// minSendersForQuotas is the minimum number of senders for shared quotas, for which senders report
+	// rejections to each other. With so many senders, the rejections of one sender's own calls come too late.
 	minSendersForQuotas = 16
 
 	// A rejection without Retry-After pauses a path for rejectionPause, doubled with each rejection in a row,
@@ -58,7 +58,7 @@
 	// slowLatencyRatio is the ratio of latency to baseline latency, relative to that of all paths, above
 	// which a path is slow.
 	slowLatencyRatio = 3
-	// slowPathSlotDivisor gives the slots that a slow path may use: all slots divided by it.
+	// A slow path may use 1/slowPathSlotDivisor of the slots.
 	slowPathSlotDivisor = 4
 )
 
@@ -225,8 +225,8 @@
 }
 
 // recordRateLimit applies a rejection by a rate limit to the path of an endpoint: it cuts the allotment and
-// pauses the path. The pause is retryAfter, or rejectionPause doubled for rejections in a row if that is 0,
-// plus jitter.
+// pauses the path. The pause is retryAfter or, if that is 0, rejectionPause doubled for each rejection in a
+// row. Jitter is added.
 func (s *Sender) recordRateLimit(e *endpoint, sent Time, retryAfter time.Duration) {
 	l := &e.path.limiter
 	switch {
@@ -294,10 +294,10 @@
 	s.setAllotment(l, l.allotment+min(allotmentGrowth, fraction*l.allotment))
 }
 
-// pauseForCongestion pauses a path for senders with an allotment of one call or less. Each sender pauses for
-// a random part of a time that doubles while rejections continue: if rejected calls count for the limit, the
-// first calls of all senders are enough to keep it exhausted. It returns whether this is a new observation
-// of congestion.
+// pauseForCongestion pauses a path after a rejection. The caller uses it if this sender may make only about
+// one call in a narrow window. Each sender pauses for a random part of a time that doubles while rejections
+// continue: if rejected calls count for the limit, the first calls of all senders are enough to keep it
+// exhausted. It returns whether this is a new observation of congestion.
 func (s *Sender) pauseForCongestion(l *rateLimiter) bool {
 	isNew := l.congestion.Again(s.now, narrowWindow, wideWindow)
 	if isNew {
--- a/policy/registry.go
+++ b/policy/registry.go
@@ -11,7 +11,7 @@
 // evictInterval is the interval at which a sender checks for endpoints and destinations to evict.
 const evictInterval = time.Second
 
-// registry holds the destinations and endpoints of a sender.
+// registry contains the destinations and endpoints of a sender.
 type registry struct {
 	endpoints    container.TagMap[Tag, *endpoint]
 	destinations map[int]*destination
@@ -31,11 +31,11 @@
 	}
 }
 
-// destination holds the state of one destination. It is idle until its first message, report or restored
-// health arrives: addMessage, receiveReport and restoreHealth activate it before any other access. Only
+// destination is the state of one destination. It is idle until its first message, report or restored health
+// arrives: addMessage, receiveReport and restoreHealth activate it before any other access. Only
 // applyEndpointList, evict and their callees may access an idle destination. They check active, or traffic
-// and health for nil, before they use either. backlog exists only while the destination has messages: without
-// it only evict may run, and functions that access only a path or an endpoint.
+// and health for nil, before they use either. Without a backlog only evict may access the destination itself;
+// other functions access only its paths and endpoints.
 type destination struct {
 	number int
 	order  uint64 // its position in the order in which destinations were added
@@ -57,7 +57,7 @@
 	advertisedRate  float64
 	assignedRate    float64
 	ratesReceivedAt Time   // when these rates were received
-	assumedCallAt   Time   // an assumed call, so that with shared quotas not all senders start at once
+	assumedCallAt   Time   // of an assumed call, so that senders with shared quotas do not start together
 	maxReady        uint32 // the maximum number of endpoints that were ready at the same time
 	kindIndex       uint16
 	zone            uint16
@@ -65,7 +65,7 @@
 	*traffic // nil while its destination is idle
 }
 
-// traffic holds the measurements of the calls on a path, and the limits on further calls.
+// traffic contains the measurements of the calls on a path, and the limits on further calls.
 type traffic struct {
 	kind        Kind
 	fee         float64 // for each message, as a fraction of its value
@@ -90,7 +90,7 @@
 	*health // nil while its destination is idle
 }
 
-// health holds the outstanding calls to an endpoint, and the health derived from earlier ones.
+// health contains the outstanding calls to an endpoint, and its health as derived from earlier calls.
 type health struct {
 	calls      []*call // outstanding, oldest first
 	lastSentAt Time
@@ -125,8 +125,8 @@
 	for _, entry := range list.Entries {
 		present[entry.Endpoint] = true
 		e := s.findEndpoint(entry.Endpoint)
-		// An endpoint that is first listed as draining is skipped: its drain grace may have ended before a
-		// restart of this node.
+		// An unknown endpoint that is draining is skipped: its drain grace may have ended before a restart of
+		// this node.
 		if e == nil && entry.State == Ready {
 			e = s.addEndpoint(entry)
 		}
@@ -261,8 +261,8 @@
 // evict deletes removed endpoints and unused destinations. A removed endpoint is kept while a call to it is
 // outstanding, and for at least the longest time that a message may wait: a new endpoint of the path may be
 // its replacement, still warming up after an outage. The path of a separate route is deleted with its last
-// endpoint. A shared path is kept until its destination is deleted: after it has had no endpoint for the
-// retention, within which calls may still count in its windows, and once it has no message.
+// endpoint, and a shared path with its destination: once the destination has no message and has had no
+// endpoint for the retention, within which calls may still count in the path's windows.
 func (s *Sender) evict() {
 	if s.now < s.registry.evictAt {
 		return
--- a/policy/restart_test.go
+++ b/policy/restart_test.go
@@ -63,8 +63,8 @@
 	}
 }
 
-// The endpoint had failed and not recovered when the node restarted. A restarted sender that forgot this would send the
-// whole restored backlog to it at once. It must send one probe first.
+// The endpoint had failed and not recovered when the node restarted. If the restarted sender did not know this, it would
+// send the full restored backlog to it at once. It must send one probe first.
 func TestRestoredBacklogWaitsForAProbe(t *testing.T) {
 	start := time.Hour
 	events := []Event{
@@ -91,8 +91,8 @@
 	}
 }
 
-// Calls that the node sent before a restart still count for the destination's rate limit. If the windows forgot them,
-// the restarted sender would exceed the limit.
+// Calls that the node sent before a restart still count for the destination's rate limit. If the windows did not
+// contain them, the restarted sender would exceed the limit.
 func TestRestoredCallsCountInWindows(t *testing.T) {
 	start := time.Hour
 	s := New(restartSettings(), 1)
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	// The base backoff, after the first failed attempt at a message, doubles with each further one up to the
-	// maximum.
+	// The backoff is backoffBase after the first failed attempt at a message, and doubles with each further
+	// one up to backoffMax.
 	backoffBase, backoffMax = 200 * time.Millisecond, 4 * time.Second
 	// maxBackoffDoublings keeps the doubled backoff from overflowing.
 	maxBackoffDoublings = 10
@@ -76,7 +76,7 @@
 	c := m.call
 	m.call = nil
 	s.completeCall(c, completed)
-	s.recordWhetherRun(m, completed.Outcome)
+	s.updateMayHaveRun(m, completed.Outcome)
 	switch {
 	case !m.done && (completed.Final || completed.Outcome == Delivered):
 		s.finish(m)
@@ -92,9 +92,9 @@
 	}
 }
 
-// completeCall applies the outcome of one of a call's attempts. Only the first outcome of a call that was
-// made and did not fail on a stale connection counts for the endpoint's health. Each Retry-After counts,
-// because the messages of a call may complete at different times.
+// completeCall applies the outcome of one of a call's attempts. Only the call's first outcome that is neither
+// NotSent, nor Cancelled, nor due to a stale connection counts for the endpoint's health. Each Retry-After
+// counts, because the messages of a call may complete at different times.
 func (s *Sender) completeCall(c *call, completed AttemptCompleted) {
 	if c.unfinished--; c.unfinished == 0 {
 		s.releaseCall(c)
@@ -109,9 +109,9 @@
 	}
 }
 
-// recordWhetherRun records whether an attempt with an outcome may have run. If it may still run, the key of
-// the message cools down.
-func (s *Sender) recordWhetherRun(m *message, outcome Outcome) {
+// updateMayHaveRun records whether a completed attempt at a message may have run. If it may still run, the
+// cooldown of the message's key begins.
+func (s *Sender) updateMayHaveRun(m *message, outcome Outcome) {
 	switch outcome {
 	case RateLimited, Unreachable, NotSent: // it did not run
 		if !m.earlierMayHaveRun {
@@ -135,7 +135,7 @@
 	s.addOutstanding(e.path, -1)
 }
 
-// addOutstanding adds n to the numbers of outstanding calls.
+// addOutstanding adds n to the numbers of outstanding calls of a path, of its destination and in total.
 func (s *Sender) addOutstanding(p *path, n int) {
 	s.slots.outstanding += n
 	p.outstanding += n
--- a/policy/rules_test.go
+++ b/policy/rules_test.go
@@ -32,7 +32,7 @@
 // limitKey identifies a rate limit: that of one endpoint with a separate route, otherwise that of a destination.
 type limitKey struct {
 	destination int
-	endpoint    EndpointID // 0 for the whole destination
+	endpoint    EndpointID // 0 for all endpoints of the destination
 }
 
 // streamMessage is the expected state of a message.
@@ -190,15 +190,15 @@
 		}
 		events = append(events, Withdrawn{Message: id}) // sometimes of a message that is done
 	}
-	due := s.wakes[:0]
+	remaining := s.wakes[:0]
 	for _, w := range s.wakes {
 		if w <= s.now {
 			events = append(events, Woken{})
 		} else {
-			due = append(due, w)
+			remaining = append(remaining, w)
 		}
 	}
-	s.wakes = due
+	s.wakes = remaining
 	return events
 }
 
--- a/policy/schedule.go
+++ b/policy/schedule.go
@@ -9,12 +9,11 @@
 )
 
 const (
-	// evenShareDivisor gives the slots that are shared evenly by the destinations with waiting messages: all
-	// slots divided by it, if that is at least one slot for each destination. Otherwise the fastest
-	// destination would get all slots.
+	// The destinations with waiting messages share 1/evenShareDivisor of the slots evenly, if that is at
+	// least one slot for each. Without an even share the fastest destination would get all slots.
 	evenShareDivisor = 8
-	// batchWaitFraction is the fraction of its soft deadline, minus half a latency, that a message waits for
-	// others to share its call.
+	// A message waits for others to share its call for batchWaitFraction of its soft deadline, less half the
+	// mean latency.
 	batchWaitFraction = 0.25
 	// maxRankedMessages is the length of a queue up to which all its messages are ranked. In longer queues
 	// only the messages that can be next are ranked.
@@ -24,7 +23,7 @@
 	waitTieBreak = 1e-6
 )
 
-// slotUsage is the use of the slots for outstanding calls, by all destinations.
+// slotUsage tracks the slots that outstanding calls occupy, and the latencies of calls, for all destinations.
 type slotUsage struct {
 	outstanding     int                             // number of outstanding calls
 	calling         container.OrderedSet[*endpoint] // endpoints with outstanding calls
@@ -62,7 +61,7 @@
 }
 
 // dispatch sends calls while there are free slots and messages that can be sent. The next message is the one
-// that would lose the most value by waiting, per slot time that it takes.
+// that would lose the most value by waiting, per second for which it would occupy a slot.
 func (s *Sender) dispatch() {
 	s.slots.evenShare = s.settings.Slots / evenShareDivisor / max(1, s.queues.nonEmpty.Len())
 	for s.slots.outstanding < s.settings.Slots {
@@ -81,8 +80,8 @@
 	}
 }
 
-// bestCandidate returns the best of the best candidate so far and the messages of a destination that can be
-// sent now. Within a step, only a call to a destination changes its ranking, so the ranking is reused.
+// bestCandidate returns the better of best and the best message of a destination that can be sent now. Within
+// a step, only a call to a destination changes its ranking, so the ranking is reused.
 func (s *Sender) bestCandidate(d *destination, best candidate) candidate {
 	if d.rankedAt != s.steps {
 		d.rankedAt, d.ranked = s.steps, s.rank(d, 1, d.ranked[:0])
@@ -104,11 +103,11 @@
 }
 
 // rank appends candidates of a destination to dst and returns it: the best at index 0, the others unsorted.
-// The next n messages are among them. In a short queue, or while slots are not scarce, all messages that are
-// ready are candidates. In a long queue the score of the plain messages of a class has its maximum at the
-// ends of the age ranges within which the loss of value is convex or increasing, so of the plain messages
-// only those at the ends are candidates. Fees would make the choice of endpoint depend on a message's age,
-// but they count only while slots are not scarce.
+// The n best messages are among them. In a short queue, or while slots are not scarce, all messages that are
+// ready are candidates. In a long queue, of the plain messages only those at the ends of certain age ranges
+// are candidates: within each range the loss of value is convex or increases with age, so the score has its
+// maximum at an end. Fees would make the choice of endpoint depend on a message's age, but they count only
+// while slots are not scarce.
 func (s *Sender) rank(d *destination, n int, dst []candidate) []candidate {
 	underShare := d.outstanding < s.slots.evenShare
 	add := func(m *message) bool {
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -14,7 +14,7 @@
 	AtMostOnce
 )
 
-// Class holds the settings of one class of message.
+// Class configures one class of message.
 type Class struct {
 	Repeat       Repeat
 	GroupAll     bool          // Deduplicated: all endpoints of the destination drop repeats
@@ -27,7 +27,7 @@
 	LateValue    float64       // the fraction of Value that is earned at the deadline
 }
 
-// Kind holds the settings of one kind of destination.
+// Kind configures one kind of destination.
 type Kind struct {
 	SeparateRoutes bool // each endpoint has its own rate limit, call spacing and outages
 	MaxBatch       int  // the maximum number of messages in one call
@@ -39,9 +39,9 @@
 const (
 	// RateUnknown means that the list contains no rates.
 	RateUnknown RateAccuracy = iota
-	// RateExact means that the listed rates are correct.
+	// RateExact means that the rates are correct.
 	RateExact
-	// RateRough means that the listed rates are up to half too high or too low.
+	// RateRough means that each rate is within 50% of the true rate.
 	RateRough
 )
 
@@ -63,14 +63,14 @@
 	Kinds         []Kind
 	ZoneFee       []float64 // by zone: fee for a message on a separate route, as a fraction of its value
 	RateAccuracy  RateAccuracy
-	MustSubscribe bool // the endpoint list changes only after Subscribe, an action that the engine ignores
+	MustSubscribe bool // endpoint list changes arrive only after a Subscribe, which internal/engine ignores
 	PeerMessages  bool // senders may notify each other
 
 	Slots       int // the maximum number of outstanding calls
 	MaxInFlight int // the maximum number of messages in flight, sent or not; 0 means no limit
 	MaxAttempts int // the maximum number of attempts at a message
 
-	HalvesLate       bool          // late value halves with each further soft deadline, instead of linearly
+	HalvesLate       bool          // late value halves per further soft deadline instead of falling linearly
 	AdviseRetryAfter bool          // rejections advise when to submit the message again
 	MaxRetryAfter    time.Duration // the longest advised delay that a client respects
 	Tick             time.Duration // the shortest time between two steps
@@ -118,11 +118,11 @@
 	Zone        int // index of Settings.ZoneFee
 	State       EndpointState
 	Rate        float64 // calls a second from all senders together; see Settings.RateAccuracy
-	// AssignedRate is the number of calls a second that this sender may make under the endpoint's rate limit,
-	// exclusive of other senders. It applies from the step that receives it, to the endpoint alone if its
-	// destination has separate routes and to all endpoints of the destination otherwise. Earlier calls count.
-	// 0 means that no rate is assigned: the sender then estimates the limit from rejections. NoCalls means
-	// that this sender may currently make no calls. Removed entries change no rate.
+	// AssignedRate is the part of the endpoint's rate limit that is assigned to this sender only, in calls a
+	// second. It applies from the step that receives it: to the endpoint if its destination has separate
+	// routes, otherwise to all endpoints of the destination. Calls before that step count too. 0 means that
+	// no rate is assigned: the sender then estimates the limit from rejections. NoCalls means that this
+	// sender may currently make no calls. Removed entries change no rate.
 	AssignedRate float64
 }
 
--- a/policy/shed.go
+++ b/policy/shed.go
@@ -28,8 +28,7 @@
 // notified in time even if a step is late.
 func (s *Sender) giveUpTime(m *message) Time { return m.giveUpAt - s.settings.Tick }
 
-// giveUpDue gives up the messages whose giveUpTime has been reached, and at once those that can no longer be
-// sent.
+// giveUpDue gives up the messages whose giveUpTime has been reached, and those that can no longer be sent.
 func (s *Sender) giveUpDue() {
 	due := s.queues.undeliverable
 	add := func(m *message) { due = append(due, m) }
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -21,7 +21,7 @@
 type recoveryRamp struct {
 	active    bool
 	startedAt Time             // when its recovery was first observed
-	calls     container.Window // holds only the last call
+	calls     container.Window // contains only the last call
 	jitter    float64          // random factor on the time between calls, drawn for each
 }
 
@@ -37,10 +37,10 @@
 
 // rampBudget returns how many calls in an overload window this sender may make to a path that may be warming
 // up, at a warm-up factor. The budget is proportional to the largest of three rates: this sender's share of
-// the rate that the path sustains at least, the rate at which the path accepted its calls, and one call per
-// time in which messages accumulated. The budgets of all senders together stay below the overload threshold
-// although the senders do not coordinate: see the proof in docs/design/core.md. 0 means that the settings
-// have no overload threshold.
+// the minimum rate that the path sustains, the rate at which the path accepted this sender's calls, and one
+// call in the time over which the messages of the outage accumulated. The budgets of all senders together
+// stay below the overload threshold although the senders do not coordinate: see the proof in
+// docs/design/core.md. 0 means that the settings have no overload threshold.
 func (s *Sender) rampBudget(e *endpoint, warmUpFactor float64) float64 {
 	l := &e.path.limiter
 	safeRate := max(l.safeRate, minDestinationRate/float64(s.settings.Senders))
@@ -52,7 +52,7 @@
 
 // rampAllows reports whether an endpoint that may be warming up may get a call. It divides the budget by the
 // maximum number of endpoints that the path ever had ready, because this endpoint may be the only one that
-// has recovered. The budget is applied as a time between two calls, which avoids rounding to whole calls.
+// has recovered. The budget is applied as a time between two calls, which avoids rounding to an integer.
 func (s *Sender) rampAllows(e *endpoint) bool {
 	recoveredAt := s.now
 	if e.ramp.active {
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -8,16 +8,16 @@
 
 // fleet simulates many senders of one destination, whose outage is scripted by the test.
 type fleet struct {
-	set        Settings
-	senders    []*Sender
-	now        Time
-	nextID     MessageID
-	pending    []pendingCall
-	reports    []Event // sent in this step, received by all others in the next
-	reporters  []int   // the sender of each report
-	sawFailure []bool  // by sender: a call of it has failed
-	awareCalls []Time  // times of the calls by senders that saw a failure
-	calls      int     // number of calls by all senders
+	set               Settings
+	senders           []*Sender
+	now               Time
+	nextID            MessageID
+	pending           []pendingCall
+	reports           []Event // sent in this step, received by all others in the next
+	reporters         []int   // the sender of each report
+	hadFailure        []bool  // by sender: a call of it has failed
+	callsAfterFailure []Time  // times of the calls by senders with an earlier failed call
+	calls             int     // number of calls by all senders
 }
 
 // pendingCall is an outstanding call with the time of its response.
@@ -34,7 +34,7 @@
 
 // newFleet starts set.Senders senders with an endpoint list of one destination.
 func newFleet(set Settings, endpoints int, rate float64) *fleet {
-	f := &fleet{set: set, now: time.Hour, sawFailure: make([]bool, set.Senders)}
+	f := &fleet{set: set, now: time.Hour, hadFailure: make([]bool, set.Senders)}
 	for i := range set.Senders {
 		f.senders = append(f.senders, nil)
 		f.restart(i, endpoints, rate)
@@ -59,8 +59,8 @@
 		case Send:
 			f.pending = append(f.pending, pendingCall{i, a, f.now + responseTime})
 			f.calls++
-			if f.sawFailure[i] {
-				f.awareCalls = append(f.awareCalls, f.now)
+			if f.hadFailure[i] {
+				f.callsAfterFailure = append(f.callsAfterFailure, f.now)
 			}
 		case NotifyPeers:
 			f.reports, f.reporters = append(f.reports, PeerMessage{Tag: a.Tag, Event: a.Event}), append(f.reporters, i)
@@ -91,7 +91,7 @@
 				continue
 			}
 			o := outcome()
-			f.sawFailure[c.sender] = f.sawFailure[c.sender] || o != Delivered
+			f.hadFailure[c.sender] = f.hadFailure[c.sender] || o != Delivered
 			events[c.sender] = append(events[c.sender], AttemptCompleted{
 				Message:  c.send.Message,
 				Endpoint: c.send.Endpoint, Outcome: o, Final: o == Delivered, Duration: responseTime,
@@ -113,15 +113,15 @@
 	}
 }
 
-// maxBudgetShare returns the calls in an overload window, by senders that saw a failure, as a fraction of the overload
-// threshold of the destination at the end of the window. It is the maximum over all windows since the recovery.
+// maxBudgetShare returns the maximum, over all overload windows since the recovery, of the calls by senders with an
+// earlier failed call, as a fraction of the destination's overload threshold at the end of the window.
 func (f *fleet) maxBudgetShare(recoveredAt Time, capacity float64) float64 {
 	worst, first := 0.0, 0
-	for i, at := range f.awareCalls {
+	for i, at := range f.callsAfterFailure {
 		if at < recoveredAt {
 			continue
 		}
-		for at-f.awareCalls[first] >= f.set.OverloadWindow || f.awareCalls[first] < recoveredAt {
+		for at-f.callsAfterFailure[first] >= f.set.OverloadWindow || f.callsAfterFailure[first] < recoveredAt {
 			first++
 		}
 		warm := min(1, f.set.InitialCapacity+(1-f.set.InitialCapacity)*float64(at-recoveredAt)/float64(f.set.WarmUp))
@@ -130,9 +130,9 @@
 	return worst
 }
 
-// Hundreds of senders that saw an outage would each send a call after the recovery, which overloads a destination that is
-// warming up. In some cases a tenth of the calls succeeds during the outage, so that the outage seems to end and begin
-// again repeatedly. The ramp budgets of all senders together must stay below the overload threshold.
+// Without ramp budgets, hundreds of senders that observed an outage would each send a call after the recovery and overload a
+// destination that is warming up. In some cases a tenth of the calls succeeds during the outage, so that the outage seems
+// to end and begin again repeatedly. The ramp budgets of all senders together must stay below the overload threshold.
 func TestManySendersStayWithinRampBudget(t *testing.T) {
 	const capacity = 80.0
 	for _, c := range []struct {
@@ -169,7 +169,7 @@
 			f.run(6*time.Second, c.loseReports, failing)
 			for i := range c.restarts {
 				f.restart(i, c.endpoints, arrivalRate)
-				f.sawFailure[i] = false
+				f.hadFailure[i] = false
 			}
 			f.pending = slices.DeleteFunc(f.pending, func(o pendingCall) bool { return o.sender < c.restarts })
 			f.run(6*time.Second, c.loseReports, failing)
@@ -181,12 +181,12 @@
 			f.run(6*time.Second, c.loseReports, healthy)
 			share := f.maxBudgetShare(recoveredAt, capacity)
 			sent := float64(f.calls-callsBefore) / (6 * capacity * set.InitialCapacity)
-			t.Logf("%.2f of the overload threshold, %.2f of the initial capacity; %d calls by senders that saw a failure, %d pending, last message %d, %d calls in the outage", share, sent, len(f.awareCalls), len(f.pending), f.nextID, calls)
+			t.Logf("%.2f of the overload threshold, %.2f of the initial capacity; %d calls by senders with an earlier failed call, %d pending, last message %d, %d calls in the outage", share, sent, len(f.callsAfterFailure), len(f.pending), f.nextID, calls)
 			if share > 1 {
 				t.Errorf("got calls at %.2f times the overload threshold of the destination, want 1 at most", share)
 			}
-			// This check also counts calls of senders that saw no failure: a sender with an allotment of one call
-			// in 9 s that lost it to a rejection has no other for a time.
+			// This check also counts calls of senders without a failed call: if a sender with an allotment of one
+			// call in 9 s has that call rejected, it makes no other one for a time.
 			if max(share, sent) < 0.05 {
 				t.Errorf("got %.2f of the overload threshold and %.2f of the initial capacity used, want 0.05 at least of either", share, sent)
 			}
@@ -194,13 +194,13 @@
 	}
 }
 
-// If no reports arrive, a single error without a recent success opens the circuit: hundreds of senders may have seen one
+// If no reports arrive, a single error without a recent success opens the circuit: hundreds of senders may have had one
 // error each. A report about another endpoint must not make such a sender resume. After a recent success a single error
 // must not open the circuit.
 func TestOneErrorWithoutReportsOpensCircuit(t *testing.T) {
 	h := newHarness(t, reportingSettings(), testDestination{endpoints: 1})
 	h.arrive(1)
-	if n := countActions[NotifyPeers](h.finish(Failed, 0)); n != 0 {
+	if n := countActions[NotifyPeers](h.complete(Failed, 0)); n != 0 {
 		t.Errorf("got %d reports of an outage after one error, want 0", n)
 	}
 	e := h.path().endpoints[0]
@@ -213,9 +213,9 @@
 	}
 	c := newHarness(t, reportingSettings(), testDestination{endpoints: 1})
 	c.arrive(1)
-	c.finish(Delivered, 0)
+	c.complete(Delivered, 0)
 	c.arrive(1)
-	c.finish(Failed, 0)
+	c.complete(Failed, 0)
 	if c.path().endpoints[0].circuit.open {
 		t.Error("got an open circuit after one error right after a success, want it closed")
 	}
--- a/policy/step_test.go
+++ b/policy/step_test.go
@@ -8,7 +8,7 @@
 	"wingmount/policy/internal/reference"
 )
 
-// stepper is an implementation of the sender: the current one or the reference.
+// stepper is an implementation of a sender: policy.Sender or the reference.
 type stepper interface {
 	Step(policy.Time, []policy.Event, []policy.Action) []policy.Action
 }
--- a/policy/timeout.go
+++ b/policy/timeout.go
@@ -9,7 +9,7 @@
 	// initialLatency is the assumed latency of a path before any response.
 	initialLatency = 500 * time.Millisecond
 	// A timeout is the mean latency plus timeoutDeviations deviations. It is doubled while half of the slots
-	// are idle, because the work for a response that is too late is wasted.
+	// are idle, because a call whose response comes too late is wasted.
 	timeoutDeviations = 5
 	// A timeout is at least minTimeoutLatencies latencies, but this minimum is at most maxTimeoutFloor: a
 	// lost call occupies its slot until the timeout. Settings.MinTimeout is an additional minimum.
@@ -61,7 +61,8 @@
 }
 
 // isStalled reports whether a call to an endpoint has been outstanding for long, with no success of the
-// endpoint since it was sent. This is detected before the call times out, and a single late success ends it.
+// endpoint since it was sent. A stall is detected before the call times out, and ended by a single late
+// success.
 func (s *Sender) isStalled(e *endpoint) bool {
 	limit := stallLatencies * max(1, s.slots.relativeLatency) * float64(e.path.latency.Mean)
 	return slices.ContainsFunc(e.calls, func(c *call) bool {
