--- a/decide/leadership/elector.go
+++ b/decide/leadership/elector.go
@@ -92,15 +92,15 @@
 
 	// State as leader.
 	leaseExpiry          time.Duration // by Latest
-	votes                voteRound
+	votes                voteRound     // the latest round
 	earlierLeasesExpired bool
 
 	// State as voter.
 	noCandidacyBefore time.Duration // by Earliest
 }
 
-// NewElector returns an elector that begins now. An earlier process of the member may have voted, so the elector waits
-// for the end of such a vote's promise before it proposes a candidacy against another leader.
+// NewElector returns an elector that begins now. An earlier process of the member may have voted, so the elector does not
+// propose a candidacy against another leader until the promise of such a vote has ended.
 func NewElector(now ClockReading, member Member, process ProcessID, config Config) *Elector {
 	e := &Elector{config: config, member: member.ID, region: member.Region, process: process, lastSeen: now.Latest}
 	e.noCandidacyBefore = now.Earliest + e.expiryWait(config.LeaderLease)
--- a/decide/leadership/leadership_test.go
+++ b/decide/leadership/leadership_test.go
@@ -38,8 +38,8 @@
 	return leading
 }
 
-// A successor must not propose a candidacy before the lease of a leader that no longer renews has expired by any clock,
-// or both lead at once. Setting the successor's wall clock must not shorten its wait.
+// A successor must not propose a candidacy before the lease of a leader that no longer renews has expired by any clock.
+// Otherwise both lead at the same time. Setting the successor's wall clock must not shorten its wait.
 func TestSuccessorWaitsForEndOfLeaderLease(t *testing.T) {
 	m := newModel(2, faults{})
 	m.settle(t)
@@ -178,7 +178,7 @@
 }
 
 // A member that is added while the leader has no connection to the quorum must not be elected: the leader does not request
-// its vote, so both would lead at once.
+// its vote, so both would lead at the same time.
 func TestMemberUnknownToLeaderIsNotElected(t *testing.T) {
 	for _, injected := range []faults{{}, {electUnknownMembers: true}} {
 		m := newModel(2, injected)
--- a/decide/leadership/margins_test.go
+++ b/decide/leadership/margins_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// The tests of this file check each deadline at the last instant before it and at the first instant from it on. Expected
-// times are literals, so that they do not come from the code under test.
+// The tests of this file check the behavior just before each deadline and at it. Expected times are literals, so that they
+// do not come from the code under test.
 const (
 	marginLeaderLease = 20 * time.Second
 	// marginWait is the wait for the end of a lease of 20 s: 20 s by a clock that is slow by a tenth, rounded up, plus the
@@ -75,8 +75,8 @@
 	}
 }
 
-// A successor must not propose a candidacy while the leader may still grant leases by its own clock, or both grant at once.
-// It must propose one at the first instant after that.
+// A successor must not propose a candidacy while the leader may still grant leases by its own clock. Otherwise both grant
+// leases at the same time. It must propose one as soon as its wait has ended.
 func TestSuccessorProposesCandidacyAfterWait(t *testing.T) {
 	const longAgo = -time.Hour // start of a process whose initial wait has ended
 	for _, test := range []struct {
@@ -325,7 +325,7 @@
 	}
 }
 
-// checkFirstInstant checks that an event occurs at a time, and not just before it.
+// checkFirstInstant checks that an event occurs at a time, and does not occur just before it.
 func checkFirstInstant(t *testing.T, event string, want time.Duration, occurs func(now ClockReading) bool) {
 	t.Helper()
 	if occurs(at(want - 1)) {
--- a/decide/lease/allocation.go
+++ b/decide/lease/allocation.go
@@ -12,7 +12,7 @@
 	finishingWeight = 1
 )
 
-// role says how a session handles a destination's messages.
+// role determines how a session handles a destination's messages.
 type role uint8
 
 const (
@@ -68,7 +68,7 @@
 // allocation divides the limit of a destination among sessions.
 type allocation struct {
 	destination placement.DestinationID
-	ownersKnown bool // SetOwners was called; until then reclaimed grants are unchanged
+	ownersKnown bool // SetOwners was called; until then rebalance changes no grant
 	owners      []placement.NodeID
 	grants      []*grant
 	quarantined units
--- a/decide/lease/holder_test.go
+++ b/decide/lease/holder_test.go
@@ -209,7 +209,7 @@
 }
 
 // A node that restarts with unfinished messages of a destination that it no longer owns must get a quota to finish them,
-// and the owner must get the whole limit again after the release.
+// and the owner must get the full limit again after the release.
 func TestRestartedNodeFinishesMessagesOfLostDestination(t *testing.T) {
 	m, first, second := newLeasedModel(t)
 	m.kill(first)
@@ -240,7 +240,7 @@
 	}
 	m.settle(t)
 	if _, ok := restarted.holder.Assignment(1); ok || second.holder.Quota(second.clock, 1) != 1 {
-		t.Fatal("after the release: got an assignment of the node, or an owner without the whole limit, want neither")
+		t.Fatal("after the release: got an assignment of the node, or an owner without the full limit, want neither")
 	}
 }
 
--- a/decide/lease/lease.go
+++ b/decide/lease/lease.go
@@ -46,17 +46,17 @@
 //
 // Restarts: each control process has a higher [Incarnation] than all before it. A new grantor begins with a grace
 // period as an NFS server does: until the longest lease of earlier incarnations has expired ([Grantor.GraceEnd]) it
-// grants only quotas that nodes reclaim. The invariant then holds if earlier incarnations answer no request once the new
+// grants only quotas that nodes reclaim. The invariant is then kept if earlier incarnations answer no request once the new
 // one has begun. Three mechanisms ensure this:
 //
-//   - The lock of a state folder, for processes that share the folder: the kernel holds it for the older process, also
-//     while that process is paused, and a new process does not begin before the older one has ended.
+//   - The lock of a state folder, for processes that share the folder: a process does not begin before it has the lock,
+//     and the kernel releases the lock only when the older process ends, even if that process was paused.
 //   - A holder that has received a reply of the newer incarnation rejects each reply of the older one.
 //   - A grantor to which any node names a newer incarnation no longer answers any node ([ErrSuperseded]).
 //
 // A holder that has received no reply of the newer incarnation is protected by the grace period only. That does not
 // protect against two running control processes with two state folders (a copied machine) if no node that has a reply of
-// the newer one sends a request to the older one: that takes a quorum (decide/leadership).
+// the newer one sends a request to the older one. Protection in that case requires a quorum (decide/leadership).
 //
 // # Quotas
 //
--- a/decide/lease/margins_test.go
+++ b/decide/lease/margins_test.go
@@ -7,8 +7,8 @@
 	"wingmount/decide/placement"
 )
 
-// The tests of this file check each deadline at the last instant before it and at the first instant from it on. Expected
-// times are literals, so that they do not come from the code under test.
+// The tests of this file check the behavior just before each deadline and at it. Expected times are literals, so that they
+// do not come from the code under test.
 
 // renewAt has a holder renew at a time that both clocks show, over a network without delay.
 func renewAt(t *testing.T, g *Grantor, h *Holder, at time.Duration) {
@@ -38,8 +38,8 @@
 	return quota
 }
 
-// A new grantor must not grant quota before the end of the longest lease of earlier incarnations by the slowest clock, or
-// holders of both incarnations use it at once.
+// A new grantor must not grant quota before the longest lease of earlier incarnations has ended by the slowest clock.
+// Otherwise holders of both incarnations use it at the same time.
 func TestRestartedGrantorWaitsForEarlierLeases(t *testing.T) {
 	const start = 5 * time.Second
 	for _, test := range []struct {
@@ -314,7 +314,7 @@
 	}
 }
 
-// replyWithQuota returns a reply to the first request of a holder. It assigns the whole limit of destination 0.
+// replyWithQuota returns a reply to the first request of a holder. It assigns the full limit of destination 0.
 func replyWithQuota(duration time.Duration, incarnation Incarnation) Reply {
 	return Reply{
 		Incarnation: incarnation, Session: SessionID(incarnation)<<counterBits + 1, Sequence: 1, Duration: duration,
--- a/decide/lease/message.go
+++ b/decide/lease/message.go
@@ -18,7 +18,7 @@
 // SessionID identifies a session of one node's process with one incarnation of a grantor. 0 means no session.
 type SessionID uint64
 
-// counterBits is the number of low bits of a SessionID and of an Epoch that hold a counter. The bits above hold the
+// counterBits is the number of low bits of a SessionID and of an Epoch that contain a counter. The higher bits contain the
 // incarnation.
 const counterBits = 40
 
--- a/decide/lease/owners.go
+++ b/decide/lease/owners.go
@@ -57,7 +57,7 @@
 }
 
 // Refresh sends all holders of a destination their assignment again, with the same epoch and the same quota. The caller
-// uses it after a change of other data about the destination that the holders have.
+// uses it after a change of other data that the holders have received about the destination.
 func (g *Grantor) Refresh(destination placement.DestinationID) {
 	a := g.allocations[destination]
 	if a == nil {
--- a/decide/lease/property_test.go
+++ b/decide/lease/property_test.go
@@ -216,9 +216,9 @@
 	}
 }
 
-// After any sequence of faults, owners must get the whole limit again once messages are delivered: no reservation may stay
-// without a holder.
-func TestOwnersWithoutFaultsGetWholeLimit(t *testing.T) {
+// After any sequence of faults, owners must get the full limit again once messages are delivered: no reservation may
+// remain without a holder.
+func TestOwnersWithoutFaultsGetFullLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newModel(3, 2, faults{})
 		m.drawClockRates(rapidChooser{t})
--- a/decide/lease/quota.go
+++ b/decide/lease/quota.go
@@ -6,7 +6,7 @@
 // fullLimit has an exact float64.
 type units int64
 
-// fullLimit is the quota that equals the whole limit.
+// fullLimit is the quota that equals the full limit.
 const fullLimit units = 1 << 24
 
 // fraction returns the quota as a fraction of the limit, 0 to 1.
--- a/decide/lease/scale_test.go
+++ b/decide/lease/scale_test.go
@@ -63,8 +63,8 @@
 	return f.sentAssignments - before
 }
 
-// The number of sent assignments must follow the number of changes, not that of all destinations. Otherwise each renewal
-// and each failed node costs the control process work in proportion to the whole cluster.
+// The number of sent assignments must depend on the number of changes, not of destinations. Otherwise each renewal and
+// each failed node costs the control process work in proportion to the size of the cluster.
 func TestRenewalsSendOnlyChangedAssignments(t *testing.T) {
 	const nodes, destinations = 100, 5000
 	f := newSimulatedNodes(t, nodes, destinations)
--- a/decide/outlier/score.go
+++ b/decide/outlier/score.go
@@ -1,6 +1,6 @@
 // Package outlier detects outliers among endpoints that share a rate limit. An outlier rejects calls for reasons of
-// its own, for example because it drains or has no connection left, so its rejections say nothing about the shared
-// limit.
+// its own, for example because it drains or has no connection left, so its rejections give no information about the
+// shared limit.
 //
 // It does no I/O, starts no goroutines and reads no clock: callers pass the time, which must not decrease. A [Score]
 // is not safe for concurrent use. Start reading at [Score.IsOutlier].
--- a/decide/ratelimit/quota.go
+++ b/decide/ratelimit/quota.go
@@ -8,9 +8,9 @@
 // # Shared quotas
 //
 // With eighty senders each sender makes a call only every few seconds. Its own rejections inform it too late:
-// with cuts by those alone, cuts and growth balance only when a quarter of all calls is rejected. So senders
-// report each rejection to each other, and every sender makes a small cut for each of them. The levels of all
-// senders then change together.
+// if only they cut the level, cuts and growth would balance only when a quarter of all calls is rejected. So
+// senders report each rejection to each other, and every sender makes a small cut for each of them. The levels
+// of all senders then change together.
 //
 // Let all senders together make R calls per second, and a fraction f of the calls be rejected. The logarithm
 // of the level falls by rejectionWeight*f per second (by rejectionWeight/R per rejection) and rises by the
@@ -35,7 +35,7 @@
 	// rejectionWeight is the logarithm of the factor by which the level falls per second while all calls are
 	// rejected.
 	rejectionWeight = 1.0
-	// maxCutBurst is the largest cut at one time, as a logarithm. It bounds the cut because calls that were
+	// maxCutBurst is the largest cut at one time, as a logarithm. Cuts are bounded because calls that were
 	// outstanding together are rejected together.
 	maxCutBurst = 0.5
 
@@ -59,7 +59,7 @@
 	// has fallen.
 	recentDecayTime = 6 * time.Second
 	// recentExclusiveTime is the time in which the recent level of an exclusive quota falls linearly to the
-	// level. It is the length of the wide window, so that a reduced share delays calls no longer than the
+	// level. It is the length of the wide window of package policy, so that a reduced share delays calls no longer than the
 	// narrow window does.
 	recentExclusiveTime = 12 * time.Second
 
@@ -154,7 +154,7 @@
 }
 
 // WindowCapacity returns how many calls a window with an allotment, in calls, may contain: at least one. For
-// an exclusive quota it is an integer, so that the scaled window ([Quota.WindowScale]) allows the whole share.
+// an exclusive quota it is an integer, so that the scaled window ([Quota.WindowScale]) allows the full share.
 // With a nil Quota it is the allotment, or one if that is less.
 func (q *Quota) WindowCapacity(allotment float64) float64 {
 	if q.Exclusive() {
@@ -198,8 +198,8 @@
 	if unreported {
 		count = q.senders
 	}
-	// Only the few senders with much traffic reach a level over 1, which does not increase the total rate of
-	// all senders. So the total counts at a level of 1 at most.
+	// The estimate of the total rate of all senders uses a level of 1 at most: only the few senders with much
+	// traffic reach a higher level, which does not increase the total.
 	cut := min(q.cutBudget, rejectionWeight*count/max(1, q.fairRate*q.senders*min(q.level, 1)))
 	q.cutBudget -= cut
 	q.level = max(minLevel, q.level*math.Exp(-cut))
@@ -208,7 +208,7 @@
 }
 
 // UndoRecentCuts raises the level to the recent level. The caller uses it when rejections turn out to be caused
-// by an outage, which says nothing about the limit. It does nothing for a nil Quota.
+// by an outage and therefore give no information about the limit. It does nothing for a nil Quota.
 func (q *Quota) UndoRecentCuts(now time.Duration) {
 	if q != nil {
 		q.advance(now)
--- a/decide/ratelimit/quota_test.go
+++ b/decide/ratelimit/quota_test.go
@@ -8,8 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// For any rejections, demand, number of senders and advertised rate, the rates must stay within their bounds, and the
-// level must fall no faster than the package comment says: otherwise a burst of rejections or a faulty sender's reports
+// For any rejections, demand, number of senders and advertised rate, the rates must stay within their bounds, and the level
+// must fall no faster than documented in the package comment: otherwise a burst of rejections or a faulty sender's reports
 // could stop all calls.
 func TestSharedQuotaStaysWithinBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
@@ -39,8 +39,8 @@
 	})
 }
 
-// A level must not grow while no message waits for the quota, because unused quota says nothing about the limit. Under
-// demand it must double within five seconds without a rejection, also from the minimum.
+// A level must not grow while no message waits for the quota, because unused quota gives no information about the limit.
+// Under demand it must double within five seconds without a rejection, also from the minimum.
 func TestSharedQuotaGrowsOnlyUnderDemand(t *testing.T) {
 	now := time.Hour
 	q := NewShared(now, 80, 80)
@@ -68,7 +68,7 @@
 	}
 }
 
-// A sender that has most of the traffic must reach the whole advertised rate under demand, for any number of senders.
+// A sender that has most of the traffic must reach the full advertised rate under demand, for any number of senders.
 // Otherwise the part of the limit that idle senders do not use is lost.
 func TestBusiestSenderReachesAdvertisedRate(t *testing.T) {
 	for _, senders := range []int{16, 80, 300} {
