--- a/decide/leadership/leadership_test.go
+++ b/decide/leadership/leadership_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// settle has all processes join and the first process become leader, and has all processes apply the log.
+// settle makes all processes join and apply the log, and makes the first process the leader.
 func (m *model) settle(t *testing.T) {
 	t.Helper()
 	for _, p := range m.processes {
@@ -116,8 +116,8 @@
 	}
 }
 
-// After a resignation the successor becomes leader without waiting for the end of the lease. The only member of a region
-// stays leader without the quorum and without votes.
+// After a resignation the successor must become leader without waiting for the end of the lease. The only member of a
+// region must remain leader without the quorum and without votes.
 func TestSuccessorOfResignedLeaderLeadsAtOnce(t *testing.T) {
 	m := newModel(2, faults{})
 	m.settle(t)
--- a/decide/leadership/state.go
+++ b/decide/leadership/state.go
@@ -159,7 +159,7 @@
 	return true
 }
 
-// currentProcess returns a member, and whether a process is the latest one that has joined for it.
+// currentProcess returns a member, and whether a process is its current one, the latest that has joined.
 func (s *State) currentProcess(id MemberID, process ProcessID) (Member, bool) {
 	m, known := s.Members[id]
 	return m, known && (m.Process == process || s.faults.acceptEarlierProcesses)
--- a/decide/lease/grantor.go
+++ b/decide/lease/grantor.go
@@ -94,8 +94,8 @@
 	}
 }
 
-// NextDeadline returns the time from which Advance has work to do. It returns false if there is no such time until
-// another method changes the grantor.
+// NextDeadline returns the earliest time at which Advance changes the grantor's state. It returns false if there is none
+// until another method changes the state.
 func (g *Grantor) NextDeadline() (time.Duration, bool) {
 	next, exists := time.Duration(math.MaxInt64), false
 	if first, expiry := g.expiries.Min(); first != nil {
--- a/decide/lease/holder.go
+++ b/decide/lease/holder.go
@@ -38,7 +38,7 @@
 	sequence           uint64 // of the latest request
 	pending            pendingRequest
 	lastSeen           time.Duration // time of the previous call
-	hasLease           bool          // a lease was granted and has not been ended before its expiry
+	hasLease           bool          // a lease was granted and Expire has not ended it since
 	expiry             time.Duration
 	assignments        map[placement.DestinationID]Assignment
 	// released maps each released destination to the epoch up to which its grants are no longer used. Such a destination
--- a/policy/assignedrate_test.go
+++ b/policy/assignedrate_test.go
@@ -62,7 +62,7 @@
 	}
 }
 
-// run advances time while messages arrive at a rate a second.
+// run advances time by d while messages arrive at a rate in messages a second.
 func (s *assignedSender) run(d time.Duration, rate float64) {
 	due := 0.0
 	for until := s.now + d; s.now < until; s.now += assignedSenderTick {
@@ -99,8 +99,8 @@
 }
 
 // An assigned rate must be used fully, since no other sender may use it, and never exceeded, since other senders use the
-// rest of the limit. Low rates and rates with a fraction are hard: a window contains an integer number of calls. Neither
-// window may contain more calls than the rate allows, with the calls of a narrow window rounded up to an integer.
+// rest of the limit. Low rates and rates with a fraction are hard: a window contains an integer number of calls. A
+// narrow window may contain the calls that the rate allows, rounded up, and a wide window six times as many.
 func TestAssignedRateIsFullyUsedAndNotExceeded(t *testing.T) {
 	for _, rate := range []float64{0.1, 0.24, 0.4, 0.75, 1, 5.0 / 3, 2.5, 10, 20.0 / 3, 33.3, 90} {
 		s := newAssignedSender(rate, nil)
--- a/policy/circuit.go
+++ b/policy/circuit.go
@@ -159,8 +159,8 @@
 }
 
 // rejectionsShowOutage reports whether rejections by an endpoint indicate an outage rather than a rate limit:
-// because of a long Retry-After, or of several rejections in a row. With a quota several in a row count only
-// once it is cut to its minimum.
+// because of a long Retry-After, or of several rejections in a row. With a quota the latter count only once
+// the quota is cut to its minimum.
 func (s *Sender) rejectionsShowOutage(e *endpoint, retryAfter time.Duration) bool {
 	quota := e.path.limiter.quota
 	inARow := e.circuit.consecutiveRejections >= rejectionsToOpenCircuit &&
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -272,8 +272,8 @@
 }
 
 // An endpoint that drains or fails may reject all calls before the endpoint list shows it. If its rejections cut the
-// quota of the path, the healthy endpoint would get too few calls. The rate of accepted calls must stay, and few calls
-// may go to the rejecting endpoint. After it has recovered, the rate must stay as well.
+// quota of the path, the healthy endpoint would get too few calls. The rate of accepted calls must not fall, neither
+// then nor after the endpoint has recovered, and few calls may go to the rejecting endpoint.
 func TestFleetAvoidsRejectingEndpoint(t *testing.T) {
 	f := newFleet(fleetConfig{nodes: 80, limit: 60, seed: 11})
 	f.offer(50, 10*time.Second)
@@ -334,9 +334,9 @@
 			f.takeCounts()
 			f.offer(1.2*c.limit, c.span)
 			calls, rejected, accepted := f.takeCounts()
-			share, part := float64(accepted)/(c.span.Seconds()*c.limit), float64(rejected)/float64(calls)
-			if share < c.minDelivered || part > c.maxRejected {
-				t.Errorf("delivered %.2f of the limit with %.2f of %d calls rejected, want %.2f at least and %.2f at most", share, part, calls, c.minDelivered, c.maxRejected)
+			delivered, refused := float64(accepted)/(c.span.Seconds()*c.limit), float64(rejected)/float64(calls)
+			if delivered < c.minDelivered || refused > c.maxRejected {
+				t.Errorf("delivered %.2f of the limit with %.2f of %d calls rejected, want %.2f at least and %.2f at most", delivered, refused, calls, c.minDelivered, c.maxRejected)
 			}
 		})
 	}
--- a/policy/idle_test.go
+++ b/policy/idle_test.go
@@ -92,8 +92,8 @@
 	runtime.KeepAlive(s)
 }
 
-// The assigned rate of an idle destination changes without activating it. Its first messages must be limited by the
-// latest rate, and not sent at all under NoCalls.
+// A change of an idle destination's assigned rate does not activate the destination. Its first messages must be limited by
+// the latest rate, and not sent at all under NoCalls.
 func TestIdleDestinationAppliesLatestAssignedRate(t *testing.T) {
 	set := testSettings()
 	s := New(set, 1)
--- a/policy/ratelimit.go
+++ b/policy/ratelimit.go
@@ -126,8 +126,8 @@
 func (l *rateLimiter) blockUntil(until Time) { l.blockedUntil = max(l.blockedUntil, until) }
 
 // updateFromQuota sets the allotment and the windows from the current rate of the quota. If the recent rate
-// was higher, the wide window is shortened in proportion. Otherwise the calls that were allowed at the recent
-// rate would exceed its new capacity and block further calls.
+// was higher, the wide window is shortened in proportion, because the calls that were allowed at the recent
+// rate would exceed the window's new capacity and block further calls.
 func (l *rateLimiter) updateFromQuota(now Time) {
 	rate, recent := l.quota.Rate(now)
 	l.allotment = rate * narrowWindow.Seconds()
@@ -147,8 +147,8 @@
 }
 
 // setAllotment sets a learnt allotment. With many senders it may be less than one call in a window. The
-// windows are then lengthened until it is one call, times a random factor, so that senders that were rejected
-// together do not resume together.
+// windows are then lengthened until they allow one call, and by a random factor, so that senders that were
+// rejected together do not resume together.
 func (s *Sender) setAllotment(l *rateLimiter, allotment float64) {
 	scale := 1.0
 	if allotment <= 1 {
--- a/policy/rules_test.go
+++ b/policy/rules_test.go
@@ -19,7 +19,7 @@
 	destinationCount int
 	entries          []Entry
 	notReady         map[EndpointID]Time // when the list changed it to draining or removed
-	retryAfters      map[limitKey]Time
+	retryAfters      map[limitKey]Time   // when the latest Retry-After ends
 	messages         map[MessageID]*streamMessage
 	keyOrder         map[uint64][]*streamMessage // by key: not done, or with an outstanding attempt
 	cooldowns        map[uint64]Time             // by key
--- a/policy/select.go
+++ b/policy/select.go
@@ -6,7 +6,7 @@
 // and load.
 
 // selectEndpoint returns the endpoint for a message, or nil if the message must wait. Paths without a fee are
-// preferred. A path with a fee is used if waiting for the others would cost more of the message's value.
+// preferred. A path with a fee is used if waiting for the others would cost more value than the fee.
 func (s *Sender) selectEndpoint(m *message) *endpoint {
 	var best *endpoint
 	freeWait := s.waitForFreePath(m)
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -51,8 +51,9 @@
 }
 
 // rampAllows reports whether an endpoint that may be warming up may get a call. It divides the budget by the
-// maximum number of endpoints that the path ever had ready, because this endpoint may be the only one that
-// has recovered. The budget is applied as a time between two calls, which avoids rounding to an integer.
+// maximum number of the path's endpoints that were ready at the same time, because this endpoint may be the
+// only one that has recovered. The budget is applied as a time between two calls, which avoids rounding to an
+// integer.
 func (s *Sender) rampAllows(e *endpoint) bool {
 	recoveredAt := s.now
 	if e.ramp.active {
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -236,8 +236,8 @@
 	}
 }
 
-// If a call succeeds during an outage, the outage seems to end and begin again. Counted from the second failure it would
-// look short, and the ramp budget, which shrinks with its length, would be too large.
+// If a call succeeds during an outage, the outage seems to end and begin again. Counted from the second failure, the
+// outage would seem short, and the ramp budget, which decreases with its length, would be too large.
 func TestOutageStartsAtFirstFailure(t *testing.T) {
 	h := newHarness(t, reportingSettings(), testDestination{endpoints: 1})
 	e := h.path().endpoints[0]
