--- a/decide/leadership/model_test.go
+++ b/decide/leadership/model_test.go
@@ -114,10 +114,10 @@
 	m.proposals = m.proposals[max(0, len(m.proposals)-modelInFlight):]
 }
 
-// commit appends the proposal at an index to the log. With keep the proposal stays in flight, to be committed again.
-func (m *model) commit(index int, keep bool) {
+// commit appends the proposal at an index to the log. A duplicated proposal stays in flight and is committed again.
+func (m *model) commit(index int, duplicate bool) {
 	m.log = append(m.log, m.proposals[index])
-	if !keep {
+	if !duplicate {
 		m.proposals = slices.Delete(m.proposals, index, index+1)
 	}
 }
@@ -161,10 +161,10 @@
 	m.voteMessages = m.voteMessages[max(0, len(m.voteMessages)-modelInFlight):]
 }
 
-// deliver delivers the vote request or vote at an index. With keep the message stays in flight, to be delivered again.
-func (m *model) deliver(index int, keep bool) {
+// deliver delivers the vote request or vote at an index. A duplicated message stays in flight and is delivered again.
+func (m *model) deliver(index int, duplicate bool) {
 	message := m.voteMessages[index]
-	if !keep {
+	if !duplicate {
 		m.voteMessages = slices.Delete(m.voteMessages, index, index+1)
 	}
 	if message.isVote {
--- a/decide/lease/exhaustive_test.go
+++ b/decide/lease/exhaustive_test.go
@@ -41,11 +41,11 @@
 	}
 }
 
-// deliverIfPresent delivers the message at an index if there is one. With keep the message stays in flight, which needs
-// room for the answer.
-func (m *model) deliverIfPresent(index int, keep bool) {
-	if index < len(m.network) && (!keep || len(m.network) < maxInFlight) {
-		m.deliver(index, keep)
+// deliverIfPresent delivers the message at an index if there is one. A duplicated message also stays in flight, which
+// needs room for the answer.
+func (m *model) deliverIfPresent(index int, duplicate bool) {
+	if index < len(m.network) && (!duplicate || len(m.network) < maxInFlight) {
+		m.deliver(index, duplicate)
 	}
 }
 
--- a/decide/lease/model_test.go
+++ b/decide/lease/model_test.go
@@ -134,10 +134,10 @@
 	m.network = append(m.network, message{process: process, request: &request})
 }
 
-// deliver delivers the message at an index of the network. With keep the message stays in flight, to be delivered again.
-func (m *model) deliver(index int, keep bool) {
+// deliver delivers the message at an index of the network. A duplicated message stays in flight and is delivered again.
+func (m *model) deliver(index int, duplicate bool) {
 	message := m.network[index]
-	if !keep {
+	if !duplicate {
 		m.network = slices.Delete(m.network, index, index+1)
 	}
 	if message.request == nil {
