--- a/internal/container/expiry.go
+++ b/internal/container/expiry.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Expiry is a set of values with expiry times. It keeps no memory for removed values.
+// Expiry is a set of values with expiry times. It retains no memory for removed values.
 type Expiry[T comparable] struct {
 	heap  Heap[T]
 	items map[T]*Item[T]
--- a/internal/container/queueage.go
+++ b/internal/container/queueage.go
@@ -11,9 +11,9 @@
 // VisitByAge calls visit for a sample of the plain values of a class, until visit returns false. It may call visit twice
 // for the same value.
 //
-// The ages divide the values into spans, visited from the youngest to the oldest. The sample contains up to n of the oldest
-// and up to n of the youngest values of each span, see [Queue.OldestAndYoungest]. A value of exactly a boundary age belongs
-// to the older span. The origin of now is that of CreatedAt. VisitByAge sorts ages in place.
+// The ages divide the values into spans, visited from the youngest to the oldest. The sample contains up to n of the
+// oldest and up to n of the youngest values of each span, see [Queue.OldestAndYoungest]. A value of exactly a boundary
+// age belongs to the older span. The time now has the same origin as CreatedAt. VisitByAge sorts ages in place.
 func (q *Queue[T]) VisitByAge(class int, now time.Duration, n int, visit func(T) bool, ages ...time.Duration) {
 	slices.Sort(ages)
 	until := int64(math.MaxInt64 - 1)
@@ -66,8 +66,9 @@
 	return to
 }
 
-// appendYoungest appends up to n of the youngest values whose creation time is later than after, and not later than until.
-// It goes from the latest creation time to the earliest, and appends the values of each in ascending order of Seq.
+// appendYoungest appends up to n of the youngest values whose creation time is later than after, and not later than
+// until. It goes from the latest creation time to the earliest, and appends the values of each time in ascending order
+// of Seq.
 func (q *Queue[T]) appendYoungest(tree *btree.BTreeG[*Entry[T]], after, until int64, n int, to []T) []T {
 	end := len(to) + n
 	for createdAt := until + 1; len(to) < end; {
--- a/internal/container/tagmap.go
+++ b/internal/container/tagmap.go
@@ -48,8 +48,8 @@
 	m.orphaned[tag] = struct{}{}
 }
 
-// Current returns the value that was added last with a tag. It returns the zero value if that one was removed, until
-// another is added: a report with this tag may refer to the removed value rather than to an older one.
+// Current returns the value that was added last with a tag. Once that value is removed, it returns the zero value until
+// another is added, because a report with this tag may refer to the removed value rather than to an older one.
 func (m *TagMap[Tag, T]) Current(tag Tag) (value T) {
 	if _, orphaned := m.orphaned[tag]; orphaned {
 		return value
--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -1,7 +1,7 @@
 // Package directory defines the endpoint list that the sources of endpoints (the platform, the configuration, the control
 // machine) send to the engine. The platform defines its JSON form.
 //
-// A list has no locks. Its sender must not change it after sending it.
+// A list is not synchronized: its sender must not change it after sending it.
 //
 // Start reading at [List].
 package directory
@@ -58,9 +58,9 @@
 	return errs
 }
 
-// UnmarshalJSON parses a list. An entry that can't be parsed is not an error for the whole list, which may announce the
-// drain of another endpoint. Such an entry gets the phase [Unreadable], and keeps its ID if the ID can be parsed;
-// otherwise its position in the list becomes its ID.
+// UnmarshalJSON parses a list. An entry that can't be parsed does not make the list invalid, because the list may
+// announce the drain of another endpoint. Such an entry gets the phase [Unreadable], and keeps its ID if the ID can be
+// parsed; otherwise its position in the list becomes its ID.
 func (l *List) UnmarshalJSON(text []byte) error {
 	var list struct {
 		Revision int64
--- a/internal/engine/assignment.go
+++ b/internal/engine/assignment.go
@@ -12,12 +12,12 @@
 type Assignment struct {
 	// Quotas are fractions of the destinations' rate limits, by destination. 0 removes the quota.
 	Quotas map[int]float64
-	// Endpoints has all endpoints of each destination in it, and none for a destination that is no longer assigned. The
-	// map is nil if the node gets its endpoints from its own directory.
+	// Endpoints maps each changed destination to all its endpoints, or to none if it is no longer assigned. The map is
+	// nil if the node gets its endpoints from its own directory.
 	Endpoints map[int][]directory.Member
 }
 
-// assignmentChanged is the event that changes quotas, endpoints or the lease, with effect from the next step.
+// assignmentChanged is the event that changes quotas, endpoints or the lease. It takes effect in the next step.
 type assignmentChanged struct {
 	Assignment
 	leaseValid *bool         // whether quotas may be used; nil for no change
@@ -67,7 +67,7 @@
 	}
 }
 
-// listChanges returns the list changes that give each destination in the map exactly the endpoints given for it.
+// listChanges returns the changes after which each destination in the map has exactly the given endpoints.
 func (e *Engine) listChanges(endpoints map[int][]directory.Member) directory.List {
 	list := directory.List{Live: true}
 	for _, number := range slices.Sorted(maps.Keys(endpoints)) {
@@ -97,7 +97,7 @@
 	return event
 }
 
-// assignedQuotas has the quotas of this node and the endpoints that they apply to.
+// assignedQuotas contains this node's quotas and the endpoints that they apply to.
 type assignedQuotas struct {
 	assigned      bool // destinations are assigned to nodes
 	leaseValid    bool
@@ -120,8 +120,8 @@
 // in calls per second.
 //
 // The limit is the destination's quota times the endpoint's rate limit. Without a quota or a valid lease it is
-// policy.NoCalls, which is negative. It is 0, for unknown, if destinations are not assigned or the endpoint has no rate
-// limit.
+// policy.NoCalls, which is negative. It is 0, which means unknown, if destinations are not assigned or the endpoint has
+// no rate limit.
 //
 // The quotas of all nodes add up to 1, and the quota of a node without a valid lease may be given to another node.
 func (q *assignedQuotas) limit(destination int, rate float64) float64 {
--- a/internal/engine/assignment_test.go
+++ b/internal/engine/assignment_test.go
@@ -47,7 +47,7 @@
 	}
 }
 
-// A change of quotas, lease or endpoints passes the limits of the affected endpoints to the module, and no others.
+// A change of quotas, lease or endpoints passes only the affected endpoints' limits to the module.
 func TestQuotaChangeUpdatesOnlyAffectedLimits(t *testing.T) {
 	e, _ := newAssignedEngine()
 	list := directory.List{Complete: true}
--- a/internal/engine/contracts.go
+++ b/internal/engine/contracts.go
@@ -66,16 +66,16 @@
 	// ResponseMargin is the time reserved before a message's deadline, in addition to a tick, to persist and announce
 	// its final response.
 	ResponseMargin time.Duration
-	// Assigned is set if destinations are assigned to nodes. This node then calls a destination only with a quota of
-	// its rate limit, see [Engine.SetAssignment].
+	// Assigned is set if destinations are assigned to nodes. A node then calls a destination only while it has a quota
+	// of the destination's rate limit, see [Engine.SetAssignment].
 	Assigned bool
 }
 
 // Dependencies are the collaborators of an engine. WriteContext, PeerMessages, Observations and StepLog may be nil.
 type Dependencies struct {
 	Store store.Store
-	// WriteContext bounds the writes of final responses. It is canceled only when the node stops and the store could
-	// not persist them in time: they stay queued in the store, and this process does not announce them.
+	// WriteContext bounds the writes of final responses. It is canceled only if the store has not persisted them in
+	// time when the node stops. They then stay queued in the store, and this process does not announce them.
 	WriteContext  context.Context
 	Carrier       Carrier
 	Admission     Admission
--- a/internal/engine/directory.go
+++ b/internal/engine/directory.go
@@ -57,8 +57,8 @@
 		return e.unchangedEntry(endpoint, m)
 	}
 	if endpoint == nil && state != policy.Ready {
-		// Nothing is sent to an endpoint that is already draining in its first entry: an earlier process may have
-		// received the notice, and the drain grace may be over.
+		// An endpoint that is draining in its first entry gets no messages: an earlier process may have received the
+		// notice, and the drain grace may be over.
 		return policy.Entry{}, false
 	}
 	if endpoint == nil {
@@ -122,8 +122,8 @@
 }
 
 // setDraining schedules the closing of a draining endpoint's gate, or opens the gate again. The gate stops calls that
-// the module decided on before it received the drain notice. It closes after 3/4 of the drain grace, counted from the
-// first notice, when the module has stopped sending.
+// the module decided on before it received the drain notice. It closes 3/4 of the drain grace after the first notice.
+// By then the module has stopped sending.
 func (e *Engine) setDraining(endpoint *trackedEndpoint, draining bool) {
 	if !draining {
 		endpoint.DrainGate.Reopen()
--- a/internal/engine/endpoints.go
+++ b/internal/engine/endpoints.go
@@ -32,7 +32,7 @@
 // trackedDestination is the state of a destination.
 type trackedDestination struct {
 	endpoints      int32       // number of tracked endpoints
-	listed         int32       // number of tracked endpoints that are in the directory's list
+	inDirectory    int32       // number of tracked endpoints that are in the directory's list
 	retryAfterGate egress.Gate // closed during a Retry-After; shared by endpoints without a gate of their own
 }
 
@@ -91,7 +91,7 @@
 	}
 	t.endpoints[id] = endpoint
 	d.endpoints++
-	d.listed++
+	d.inDirectory++
 	delete(t.vacant, m.Destination)
 	return endpoint
 }
@@ -116,11 +116,11 @@
 	if !removed {
 		delete(t.departing, endpoint.ID)
 		delete(t.vacant, endpoint.Destination)
-		d.listed++
+		d.inDirectory++
 		return
 	}
 	t.departing[endpoint.ID] = endpoint
-	if d.listed--; d.listed == 0 {
+	if d.inDirectory--; d.inDirectory == 0 {
 		t.vacant[endpoint.Destination] = vacantDestination{d, time.Now()}
 	}
 }
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -174,8 +174,8 @@
 	}
 }
 
-// finishRound steps the module, unless the engine is draining. It returns the module's time for its next wake-up, 0 for
-// none.
+// finishRound steps the module, unless the engine is draining. It returns the time of the module's next wake-up on the
+// module's clock, or 0 for none.
 func (e *Engine) finishRound(ctx context.Context) (wakeAt policy.Time) {
 	if e.draining {
 		e.batch = e.batch[:0]
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -226,7 +226,7 @@
 		announced int
 	}{
 		"shared, persisted":     {shared(nil), 1},
-		"shared, fenced":        {shared(fmt.Errorf("no: %w", store.ErrFenced)), 0},
+		"shared, fenced":        {shared(fmt.Errorf("write rejected: %w", store.ErrFenced)), 0},
 		"shared, undecided":     {shared(store.ErrUndecided), 0},
 		"not shared, persisted": {outcomeStore{}, 1},
 		"not shared, fenced":    {outcomeStore{err: store.ErrFenced}, 0},
@@ -258,8 +258,9 @@
 }
 
 // A removed endpoint and its connections are evicted, but not while a call to it is in flight. An evicted endpoint that
-// is listed again as draining gets no new drain grace. A destination without endpoints is evicted after vacantRetention,
-// or later if its Retry-After ends later. The history of an earlier process is dropped after healthRetention.
+// is in the list again, as draining, gets no new drain grace. A destination without endpoints is evicted after
+// vacantRetention, or later if its Retry-After ends later. The history of an earlier process is dropped after
+// healthRetention.
 func TestRemovedEndpointsAreEvicted(t *testing.T) {
 	e, f := newEngine(policy.Settings{Kinds: []policy.Kind{{MaxBatch: 1}}, DrainGrace: time.Second})
 	entry := func(id string, destination int, phase string) directory.List {
@@ -336,7 +337,8 @@
 	}
 }
 
-// The health history of another node is adopted only for listed endpoints that have completed no call of this node since.
+// The health history of another node is adopted only for endpoints in the directory's list to which this node has
+// completed no call since.
 func TestHealthHistoryAppliesToEndpointsWithoutLaterOutcome(t *testing.T) {
 	e, _ := newEngine(testSettings)
 	e.handle(EndpointsChanged{List: directory.List{Complete: true, Live: true, Members: []directory.Member{
@@ -420,7 +422,7 @@
 	repeated.HostPort = "127.0.0.1:2"
 	e.handle(EndpointsChanged{List: directory.List{Complete: true, Members: []directory.Member{member("s1", 7, directory.Active), repeated, member("s2", 7, directory.Active)}}})
 	s1, s2 := e.endpoints[endpointID("s1")], e.endpoints[endpointID("s2")]
-	if len(e.endpoints) != 2 || s1.addr != "127.0.0.1:2" || e.destinations[7].endpoints != 2 || e.destinations[7].listed != 2 {
+	if len(e.endpoints) != 2 || s1.addr != "127.0.0.1:2" || e.destinations[7].endpoints != 2 || e.destinations[7].inDirectory != 2 {
 		t.Fatalf("got endpoints %v, destination %+v, want s1 at 127.0.0.1:2 and s2", e.endpoints, e.destinations[7])
 	}
 	e.handle(EndpointsChanged{List: directory.List{Complete: true, Members: []directory.Member{
--- a/internal/engine/health.go
+++ b/internal/engine/health.go
@@ -8,8 +8,8 @@
 
 // HealthHistory is the health of endpoints, by name, as observed by another node or by an earlier process of this node.
 //
-// As an event, it is ignored for an endpoint that is not in the directory's list, that has completed a call of this node
-// since, or that has no recorded failure. The endpoint's call times are then ignored too.
+// If the history is posted as an event, an entry and its call times are ignored if the entry records no failure, if its
+// endpoint is not in the directory's list, or if this node has completed a call to the endpoint since the failure.
 //
 // The engine owns the map once it is posted or passed in [Dependencies], and deletes the entries that it has used.
 type HealthHistory map[string]*store.EndpointHealth
@@ -23,8 +23,8 @@
 	e.restoreHealth(h)
 }
 
-// observedSince reports whether an endpoint has completed a call of this node at or after a time. It reports true for the
-// zero time, which means no recorded failure: only failures are adopted from other nodes.
+// observedSince reports whether this node has completed a call to an endpoint at or after a time. It reports true for
+// the zero time, which means no recorded failure: only failures are adopted from other nodes.
 func (e *Engine) observedSince(endpoint *trackedEndpoint, at time.Time) bool {
 	if at.IsZero() {
 		return true
--- a/internal/engine/responses.go
+++ b/internal/engine/responses.go
@@ -14,8 +14,8 @@
 const (
 	// maxResponseBatch is the maximum number of final responses in one write.
 	maxResponseBatch = 256
-	// maxWriteOrderWait is how long a batch of final responses waits for the previous batch. Without this bound, a store
-	// that is not writable would delay each batch by its full timeout.
+	// maxWriteOrderWait is how long a batch of final responses waits for the previous batch. Without this bound, a
+	// store that is not writable would delay each batch by the store's full timeout.
 	maxWriteOrderWait = 20 * time.Millisecond
 )
 
@@ -112,9 +112,9 @@
 	}
 }
 
-// leftToNextOwner reports whether final responses whose write returned err are left to the next owner of their messages.
-// This is so if the node is fenced, or if the write to a shared store failed: the next owner reads the messages there and
-// decides on their responses.
+// leftToNextOwner reports whether final responses whose write returned err are left to the next owner of their
+// messages. That is the case if the node is fenced, or if the write to a shared store failed: the next owner reads the
+// messages from the shared store and decides on their responses.
 func leftToNextOwner(s store.Store, err error) bool {
 	_, shared := s.(store.Shared)
 	return errors.Is(err, store.ErrFenced) || shared && err != nil
--- a/internal/engine/step.go
+++ b/internal/engine/step.go
@@ -10,8 +10,8 @@
 	"wingmount/policy"
 )
 
-// step passes the batch to the module and executes its actions. It returns the module's time for its next wake-up, 0 for
-// none.
+// step passes the batch to the module and executes its actions. It returns the time of the module's next wake-up on the
+// module's clock, or 0 for none.
 func (e *Engine) step(ctx context.Context) (wakeAt policy.Time) {
 	now := e.now()
 	e.actions = e.sender.Step(now, e.batch, e.actions[:0])
--- a/internal/estimate/estimate.go
+++ b/internal/estimate/estimate.go
@@ -14,10 +14,10 @@
 	Gain = 0.2
 	// SlowGain is the weight of a new value in a slow baseline.
 	SlowGain = 0.02
-	// peakDeviations is the distance of a day's best window from the mean, in standard deviations.
+	// peakDeviations is the expected distance of a day's best window above the mean, in standard deviations.
 	peakDeviations = 2
-	// minWindowSuccesses is the lowest mean number of successes per window for which peakDeviations holds. With a lower
-	// mean the best window is further above the mean.
+	// minWindowSuccesses is the lowest mean number of successes per window to which peakDeviations applies. With a
+	// lower mean the best window is further above the mean.
 	minWindowSuccesses = 2
 	// minRatio and maxRatio bound the ratio of one response's latency to the mean.
 	minRatio, maxRatio = 0.2, 5
@@ -32,8 +32,8 @@
 }
 
 // Observe records the latency of a response. It returns the ratio of the latency to the mean, limited to minRatio and
-// maxRatio. The first response has no ratio, and only half of its latency counts: the averages start at the mean of it and
-// the initial Mean.
+// maxRatio. The first response has no ratio, and only half of its latency counts: the averages start at the mean of
+// that latency and the initial Mean.
 func (l *Latency) Observe(latency time.Duration) (ratio float64, ok bool) {
 	if !l.observed {
 		latency = (latency + l.Mean) / 2
@@ -83,12 +83,12 @@
 	r.Peak = max(r.Peak, r.Window.Count(now))
 }
 
-// SenderShare returns the rate of this sender's successful calls, in calls per second, after it has sent for the elapsed
-// time. The shares of all senders add up to the destination's rate.
+// SenderShare returns the rate of this sender's successful calls, in calls per second, over the elapsed time since it
+// started sending. The shares of all senders add up to the destination's rate.
 //
-// The share is the mean rate, or the rate of the best window less the excess that is due to chance if that is higher. The
-// best window of one sender is peakDeviations standard deviations above its mean. The best windows of different senders
-// are at different times, so the excess of all n senders together is only 1/sqrt(n) of the sum of their excesses.
+// The share is the higher of the mean rate and the best window's rate less the excess that is due to chance. The best
+// window of one sender is peakDeviations standard deviations above its mean. The best windows of different senders are
+// at different times, so the excess of all n senders together is only 1/sqrt(n) of the sum of their excesses.
 func (r *Rate) SenderShare(elapsed time.Duration, senders int) float64 {
 	span := r.Window.Span
 	mean := float64(r.Total) / max(span, elapsed).Seconds()
@@ -131,8 +131,8 @@
 	return []time.Duration{v.SoftDeadline, floor, v.Deadline}
 }
 
-// LossBreakpoints returns the ages at which the formula of the loss over an interval changes, if the interval begins a
-// delay after the age.
+// LossBreakpoints returns the ages at which the formula of the loss over an interval changes, for an interval that
+// begins the given delay after the age.
 func (v *Value) LossBreakpoints(delay, interval time.Duration) (ages []time.Duration) {
 	for _, at := range v.Breakpoints() {
 		ages = append(ages, at-delay, at-delay-interval)
--- a/internal/inflight/registry.go
+++ b/internal/inflight/registry.go
@@ -22,7 +22,7 @@
 	"wingmount/decide/admission"
 )
 
-// defaultRetryAfter is the retry delay of rejections that the admission controller does not decide.
+// defaultRetryAfter is the retry delay of rejections that do not come from the admission controller.
 const defaultRetryAfter = time.Second
 
 // Config is the configuration of a registry.
@@ -38,7 +38,7 @@
 
 // The verdicts.
 const (
-	Reserved     Verdict = iota // the message has a reservation, until it is released or has a final response
+	Reserved     Verdict = iota // the message has a reservation, until the reservation is released or the message completed
 	InProgress                  // the message is already accepted and in flight
 	Duplicate                   // another request with the same ID has a reservation
 	NoCapacity                  // too many messages are in flight
@@ -102,8 +102,8 @@
 }
 
 // reserve decides on a request for a reservation. It rejects, in this order: a message that is already in flight, any
-// message during shutdown, a message beyond max, and a message that the admission controller rejects. The caller holds
-// the lock.
+// message during shutdown, a message beyond Config.Max, and a message that the admission controller rejects. The caller
+// has locked the registry.
 func (r *Registry) reserve(now time.Duration, id string, destination, class int, timeLeft time.Duration) (Verdict, time.Duration) {
 	if entry, known := r.messages[id]; known {
 		if entry.accepted {
@@ -216,8 +216,8 @@
 	return exists, r.complete
 }
 
-// DestinationsKnown reports whether messages to unknown destinations can be detected. This is so if the registry contains
-// a destination or a complete set.
+// DestinationsKnown reports whether messages to unknown destinations can be detected. They can if the registry contains
+// a destination, or if its set of destinations is complete.
 func (r *Registry) DestinationsKnown() bool {
 	r.lock()
 	defer r.mu.Unlock()
--- a/internal/inflight/registry_test.go
+++ b/internal/inflight/registry_test.go
@@ -19,8 +19,8 @@
 	return all
 }
 
-// wantVerdict requests a reservation, checks its verdict and that only rejections have a retry delay, and returns the
-// delay.
+// wantVerdict requests a reservation and returns its retry delay. It checks the verdict, and that only rejections have
+// a retry delay.
 func wantVerdict(t *testing.T, r *Registry, id string, want Verdict) time.Duration {
 	t.Helper()
 	got, retry := r.Reserve(id, 7, 0, time.Minute)
--- a/internal/inflight/rounds.go
+++ b/internal/inflight/rounds.go
@@ -31,8 +31,8 @@
 	}
 }
 
-// load returns the engine's lag and utilization. A round in progress counts with the time since its start. The caller
-// holds the registry's lock.
+// load returns the engine's lag and utilization. Both include the time since the start of a round in progress. The
+// caller holds the registry's lock.
 func (e *engineRounds) load(now time.Duration) admission.EngineLoad {
 	busy, lag := time.Duration(e.busy.Load()), time.Duration(0)
 	if startedAt := time.Duration(e.startedAt.Load()); startedAt > 0 {
--- a/internal/message/message.go
+++ b/internal/message/message.go
@@ -1,8 +1,8 @@
 // Package message defines a message, the history of its attempts, and its final response.
 //
-// It does no I/O. Its types are not safe for concurrent use. The store that holds a message owns its History and
-// FinalResponse. The other fields do not change once the message is accepted, except KeyWindow, which the engine sets from
-// the class before the first attempt.
+// It does no I/O. Its types are not safe for concurrent use. A message's store owns its History and FinalResponse. The
+// other fields do not change once the message is accepted, except KeyWindow, which the engine sets from the class
+// before the first attempt.
 //
 // Start reading at [Message] and [History].
 package message
--- a/internal/message/message_test.go
+++ b/internal/message/message_test.go
@@ -27,7 +27,7 @@
 	return false, time.Time{}, 0
 }
 
-// A history gives the same answers as the list of all attempts. Guards against a history that forgets an attempt that may
+// A history gives the same answers as the list of all attempts. Guards against a history that omits an attempt that may
 // have run, which would allow the message to run twice.
 func TestHistoryMatchesListOfAttempts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
