--- a/internal/container/tagmap.go
+++ b/internal/container/tagmap.go
@@ -12,18 +12,18 @@
 // TagMap finds values by a short tag that several values may share. Values with the same tag form a linked list, so that
 // the map needs one entry per tag.
 type TagMap[Tag comparable, T Linked[T]] struct {
-	newest   map[Tag]T
-	orphaned map[Tag]struct{} // tags whose newest value was removed while older ones were present
+	newest        map[Tag]T
+	newestRemoved map[Tag]struct{} // tags whose newest value was removed while older ones were present
 }
 
 // Add adds a value with a tag.
 func (m *TagMap[Tag, T]) Add(tag Tag, value T) {
 	if m.newest == nil {
-		m.newest, m.orphaned = map[Tag]T{}, map[Tag]struct{}{}
+		m.newest, m.newestRemoved = map[Tag]T{}, map[Tag]struct{}{}
 	}
 	*value.Link() = m.newest[tag]
 	m.newest[tag] = value
-	delete(m.orphaned, tag)
+	delete(m.newestRemoved, tag)
 }
 
 // Remove removes a value that was added with the tag.
@@ -41,17 +41,17 @@
 	var zero T
 	if older == zero {
 		delete(m.newest, tag)
-		delete(m.orphaned, tag)
+		delete(m.newestRemoved, tag)
 		return
 	}
 	m.newest[tag] = older
-	m.orphaned[tag] = struct{}{}
+	m.newestRemoved[tag] = struct{}{}
 }
 
 // Current returns the value that was added last with a tag. Once that value is removed, it returns the zero value until
 // another is added, because a report with this tag may refer to the removed value rather than to an older one.
 func (m *TagMap[Tag, T]) Current(tag Tag) (value T) {
-	if _, orphaned := m.orphaned[tag]; orphaned {
+	if _, removed := m.newestRemoved[tag]; removed {
 		return value
 	}
 	return m.newest[tag]
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -318,13 +318,13 @@
 	invalid.Kind = "unknown"
 	got := e.applyList(directory.List{Complete: true, Members: []directory.Member{
 		member("s1", 3, directory.Active),
-		member("s2", 3, directory.Active), invalid, member("s4", 3, directory.Removed), member("s5", 3, "sleeping"),
+		member("s2", 3, directory.Active), invalid, member("s4", 3, directory.Removed), member("s5", 3, "unknown phase"),
 		member("s6", 3, directory.Draining),
 	}})
 	if len(got.Entries) != 2 || !got.Complete {
 		t.Fatalf("got entries %+v, want s1 and s2", got.Entries)
 	}
-	got = e.applyList(directory.List{Complete: true, Members: []directory.Member{member("s1", 3, "sleeping"), member("s2", 3, directory.Draining)}})
+	got = e.applyList(directory.List{Complete: true, Members: []directory.Member{member("s1", 3, "unknown phase"), member("s2", 3, directory.Draining)}})
 	if len(got.Entries) != 2 || got.Entries[0].State != policy.Ready || got.Entries[1].State != policy.Draining {
 		t.Errorf("got entries %+v, want s1 Ready and s2 Draining", got.Entries)
 	}
@@ -338,7 +338,7 @@
 }
 
 // The health history of another node is adopted only for endpoints in the directory's list to which this node has
-// completed no call since.
+// completed no call since the failure.
 func TestHealthHistoryAppliesToEndpointsWithoutLaterOutcome(t *testing.T) {
 	e, _ := newEngine(testSettings)
 	e.handle(EndpointsChanged{List: directory.List{Complete: true, Live: true, Members: []directory.Member{
@@ -488,7 +488,7 @@
 			}
 			update(true, directory.Active)
 			update(false, directory.Removed)
-			update(complete, "sleeping")
+			update(complete, "unknown phase")
 			if got := e.batch[len(e.batch)-1].(policy.EndpointUpdate).Entries[0].State; got != policy.Removed {
 				t.Errorf("entry with an unknown phase: got state %v, want Removed", got)
 			}
@@ -510,7 +510,7 @@
 // against an action of the module for an endpoint that the engine has evicted.
 func TestNoCallToRemovedEndpoints(t *testing.T) {
 	const seeds, operations = 100, 60
-	phases := []string{directory.Active, directory.Active, directory.Draining, directory.Removed, "sleeping", directory.Unreadable}
+	phases := []string{directory.Active, directory.Active, directory.Draining, directory.Removed, "unknown phase", directory.Unreadable}
 	settings := testSettings
 	settings.DrainGrace = time.Minute // a draining endpoint gets calls if its destination has no other endpoint
 	calls, evictions := 0, 0
--- a/internal/estimate/doubling_test.go
+++ b/internal/estimate/doubling_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// The span doubles up to its limit while events repeat, ignores an event less than half of the initial span after the
-// last, and is reset exactly twice the span after the last event.
+// The span doubles up to its limit while events repeat, and is reset exactly twice the span after the last counted event.
+// An event less than half of the initial span after the last counted event is ignored.
 func TestBackoffDoublesUntilEventsStop(t *testing.T) {
 	const initial, limit = 2 * time.Second, 12 * time.Second
 	var b Backoff
