--- a/internal/consensus/compact.go
+++ b/internal/consensus/compact.go
@@ -8,7 +8,7 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 )
 
-// compaction is a snapshot in progress that will replace the log up to an index.
+// compaction is a snapshot in progress that will replace the log up to and including index.
 type compaction struct {
 	index     uint64
 	confState *pb.ConfState
@@ -17,8 +17,8 @@
 	err       error
 }
 
-// startCompaction returns a compaction to run, or nil. One begins when the log file has reached its bound or the
-// members have changed, and no other is in progress.
+// startCompaction returns a compaction for the caller to run, or nil if none is due. A compaction is due when the log
+// file has reached compactAt or the membership has changed, and no other compaction is in progress.
 func (c *core) startCompaction() *compaction {
 	if c.compacting || c.disk.size < c.compactAt && !c.membersChanged {
 		return nil
@@ -31,10 +31,11 @@
 	return &compaction{index: c.applied, confState: c.confState, encode: c.config.Machine.Snapshot()}
 }
 
-// run encodes the state. It is called outside the member's goroutine.
+// run encodes the captured state. Node calls it outside the member's goroutine.
 func (k *compaction) run() { k.data, k.err = k.encode() }
 
-// finishCompaction writes the snapshot and replaces the log by the entries behind it.
+// finishCompaction writes the snapshot of a compaction that has run, and replaces the log with the entries after its
+// index.
 func (c *core) finishCompaction(k *compaction) error {
 	c.compacting = false
 	if k.err != nil {
@@ -42,7 +43,7 @@
 	}
 	snapshot, err := c.memory.CreateSnapshot(k.index, k.confState, k.data)
 	if errors.Is(err, raft.ErrSnapOutOfDate) {
-		return nil // a snapshot of the leader arrived meanwhile
+		return nil // a newer snapshot from the leader was stored in the meantime
 	}
 	if err != nil {
 		return fmt.Errorf("taking a snapshot: %w", err)
@@ -65,7 +66,7 @@
 	return c.trimMemory(k.index)
 }
 
-// entriesAfter returns the entries behind an index.
+// entriesAfter returns the entries after index.
 func (c *core) entriesAfter(index uint64) ([]*pb.Entry, error) {
 	last, err := c.memory.LastIndex()
 	if err != nil || last <= index {
@@ -74,10 +75,10 @@
 	return c.memory.Entries(index+1, last+1, raftNoLimit)
 }
 
-// raftNoLimit asks the raft library for entries of any size.
+// raftNoLimit disables the size limit when entries are read from raft.MemoryStorage.
 const raftNoLimit = ^uint64(0)
 
-// trimMemory drops entries up to an index from memory, except for the latest retainedLogBytes of them.
+// trimMemory drops entries up to and including index from memory, except for the latest retainedLogBytes of them.
 func (c *core) trimMemory(index uint64) error {
 	first, err := c.memory.FirstIndex()
 	if err != nil || first > index {
--- a/internal/consensus/core.go
+++ b/internal/consensus/core.go
@@ -8,7 +8,8 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 )
 
-// core is a member without goroutines and clocks: its owner ticks it, hands it messages and sends what it returns.
+// core is a member without goroutines or clocks. Its caller calls raw.Tick, passes it received messages and sends the
+// messages that processReady emits.
 type core struct {
 	config    Config
 	raw       *raft.RawNode
@@ -18,13 +19,13 @@
 	applied   uint64
 	// compacting is set while another goroutine encodes a snapshot.
 	compacting bool
-	compactAt  int64 // size of the log file in bytes
-	// membersChanged is set when the members have changed since the latest snapshot. A member that was added can't
-	// start from a snapshot that does not list it.
+	compactAt  int64 // size of the log file, in bytes, at which a compaction starts
+	// membersChanged is set when the membership has changed since the latest snapshot. An added member can't start
+	// from a snapshot that does not list it, so a new one is taken.
 	membersChanged bool
 }
 
-// newCore opens the folder and restores the state machine.
+// newCore opens the member's folder, bootstraps an empty log, and restores the state machine.
 func newCore(config Config) (*core, error) {
 	d, stored, err := openDisk(config.Dir)
 	if err != nil {
@@ -58,10 +59,10 @@
 	return c, nil
 }
 
-// bootstrapIndex is the index of the snapshot that a new log begins with.
+// bootstrapIndex is the index of the snapshot at the start of a new log.
 const bootstrapIndex = 1
 
-// bootstrap writes the log of the initial members. It is the same at each of them.
+// bootstrap writes a new log for the initial members. All of them write an identical one.
 func (c *core) bootstrap() error {
 	index, term := uint64(bootstrapIndex), uint64(1)
 	snapshot := &pb.Snapshot{
@@ -78,7 +79,7 @@
 	return errors.Join(c.memory.ApplySnapshot(snapshot), c.memory.SetHardState(state))
 }
 
-// restore sets the state machine to the snapshot that the log follows.
+// restore loads the snapshot at the start of the log into the state machine.
 func (c *core) restore() error {
 	snapshot, err := c.memory.Snapshot()
 	if err != nil {
@@ -96,14 +97,14 @@
 	return nil
 }
 
-// receive handles a message of another member. It returns ErrRegressed if a leader counts on entries that this
-// member does not have.
+// receive processes a message from another member. It returns ErrRegressed if the leader reports as committed an entry
+// that this member lacks. An error stops the member.
 func (c *core) receive(m *pb.Message) error {
 	if m.GetTo() != c.config.ID || raft.IsLocalMsg(m.GetType()) {
 		return nil
 	}
 	if m.GetType() == pb.MsgHeartbeat && m.GetTerm() >= c.raw.BasicStatus().GetTerm() {
-		// A leader names as committed only what this member has acknowledged.
+		// A leader's heartbeat limits the commit index to the entries that this member has acknowledged.
 		last, err := c.memory.LastIndex()
 		if err != nil {
 			return err
@@ -118,8 +119,9 @@
 	return nil
 }
 
-// processReady persists what the raft library asks for, passes its messages to send, and applies committed
-// entries, until nothing is left. Nothing is sent or applied before it is on disk.
+// processReady handles pending raft.Ready values until none is left: it persists entries and hard state, passes
+// messages to send, and applies committed entries. Nothing is sent or applied before it is on disk. An error stops the
+// member.
 func (c *core) processReady(send func([]*pb.Message)) error {
 	applied := c.applied
 	for c.raw.HasReady() {
@@ -139,7 +141,7 @@
 	return nil
 }
 
-// persist writes a snapshot, entries and the hard state.
+// persist stores the snapshot, entries and hard state of a raft.Ready on disk and in memory.
 func (c *core) persist(ready raft.Ready) error {
 	if !raft.IsEmptySnap(ready.Snapshot) {
 		if err := c.persistSnapshot(ready.Snapshot, ready.HardState); err != nil {
@@ -157,7 +159,7 @@
 	return c.memory.Append(ready.Entries)
 }
 
-// persistSnapshot replaces the log by a snapshot of the leader.
+// persistSnapshot replaces the log with a snapshot received from the leader.
 func (c *core) persistSnapshot(snapshot *pb.Snapshot, state *pb.HardState) error {
 	if err := c.disk.writeSnapshot(snapshot); err != nil {
 		return err
@@ -175,7 +177,7 @@
 	return c.memory.ApplySnapshot(snapshot)
 }
 
-// apply passes a snapshot of the leader and committed entries to the state machine.
+// apply passes a snapshot received from the leader, and committed entries, to the state machine.
 func (c *core) apply(ready raft.Ready) error {
 	if !raft.IsEmptySnap(ready.Snapshot) {
 		if err := c.config.Machine.Restore(ready.Snapshot.GetData()); err != nil {
@@ -193,11 +195,11 @@
 	return nil
 }
 
-// applyEntry applies one entry. A change of the members carries an entry for the state machine.
+// applyEntry applies one entry. A membership change carries an entry for the state machine in its context.
 func (c *core) applyEntry(entry *pb.Entry) error {
 	switch entry.GetType() {
 	case pb.EntryNormal:
-		if len(entry.GetData()) > 0 { // a new leader begins with an empty entry
+		if len(entry.GetData()) > 0 { // a new leader appends an empty entry at the start of its term
 			c.config.Machine.Apply(entry.GetIndex(), entry.GetData())
 		}
 	case pb.EntryConfChangeV2:
--- a/internal/consensus/disk.go
+++ b/internal/consensus/disk.go
@@ -15,39 +15,39 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// File names in a member's folder. The name of a snapshot ends with its index.
+// File names in a member's folder. The name of a snapshot ends with its index in hexadecimal.
 const (
 	logName        = "quorum.log"
 	snapshotPrefix = "quorum.snapshot-"
 	nextSuffix     = ".next"
 )
 
-// disk is the folder of a member. Its methods are called by one goroutine.
+// disk stores a member's log and snapshots in its folder. Its methods are called by one goroutine.
 type disk struct {
 	dir  string
 	file logFile
-	size int64
-	// create opens a file for writing; tests replace it by one that fails.
+	size int64 // length of the log file in bytes
+	// create opens a file for writing. Tests may replace it to inject faults.
 	create func(path string) (logFile, error)
 }
 
-// logFile is the part of a file that a disk uses.
+// logFile is the subset of *os.File that disk uses.
 type logFile interface {
 	Write(b []byte) (int, error)
 	Sync() error
 	Close() error
 }
 
-// storedLog is the content of a folder.
+// storedLog is the log read from a folder. Empty reports that the folder has no log file.
 type storedLog struct {
 	memory *raft.MemoryStorage
 	empty  bool
 }
 
-// openDisk opens a folder, which it creates if there is none, and reads its log. What is behind the valid part (see read)
-// is dropped, without a line in the log. A frame that a crash has cut off was never acknowledged. Behind a damaged length
-// acknowledged records are lost: if committed entries are among them, the member stops with ErrRegressed when the leader
-// next names what is committed.
+// openDisk opens a folder, creates it if it does not exist, and reads its log. It truncates the log after the valid part
+// (see readRecords) and logs nothing about it. A frame that a crash has cut off was never acknowledged. A damaged length
+// loses acknowledged records after it: if committed entries are among them, the member stops with ErrRegressed at the
+// leader's next heartbeat with its commit index.
 func openDisk(dir string) (*disk, storedLog, error) {
 	d := &disk{dir: dir, create: createFile}
 	stored := storedLog{memory: raft.NewMemoryStorage(), empty: true}
@@ -62,7 +62,7 @@
 		return nil, stored, fmt.Errorf("opening the log: %w", err)
 	}
 	stored.empty = false
-	validBytes, err := d.read(text, stored.memory)
+	validBytes, err := d.readRecords(text, stored.memory)
 	if err != nil {
 		return nil, stored, err
 	}
@@ -87,23 +87,23 @@
 
 func snapshotName(index uint64) string { return fmt.Sprintf("%s%016x", snapshotPrefix, index) }
 
-// writeSnapshot writes a snapshot. The log follows it only after replaceLog.
+// writeSnapshot writes a snapshot. The log refers to it only after replaceLog.
 func (d *disk) writeSnapshot(snapshot *pb.Snapshot) error {
 	text, err := proto.Marshal(snapshot)
 	if err != nil {
 		return fmt.Errorf("writing a snapshot: %w", err)
 	}
-	return d.replace(snapshotName(snapshot.GetMetadata().GetIndex()), frame.Append(nil, text))
+	return d.writeFile(snapshotName(snapshot.GetMetadata().GetIndex()), frame.Append(nil, text))
 }
 
-// replaceLog writes a new log that follows a snapshot on disk, and removes older snapshots.
+// replaceLog writes a new log that begins at a snapshot on disk, and removes all other snapshots.
 func (d *disk) replaceLog(snapshot uint64, state *pb.HardState, entries []*pb.Entry) error {
 	text := appendRecord(nil, recordSnapshot, binary.LittleEndian.AppendUint64(nil, snapshot))
 	text, err := appendRecords(text, state, entries)
 	if err != nil {
 		return err
 	}
-	if err := d.replace(logName, text); err != nil {
+	if err := d.writeFile(logName, text); err != nil {
 		return err
 	}
 	if d.file != nil {
@@ -119,8 +119,8 @@
 	return d.removeSnapshotsExcept(snapshot)
 }
 
-// replace writes a file atomically. It is on disk when replace returns.
-func (d *disk) replace(name string, text []byte) error {
+// writeFile replaces a file atomically and syncs it and the folder before it returns.
+func (d *disk) writeFile(name string, text []byte) error {
 	next := d.path(name + nextSuffix)
 	file, err := d.create(next)
 	if err != nil {
@@ -133,14 +133,14 @@
 	if err := os.Rename(next, d.path(name)); err != nil {
 		return fmt.Errorf("writing %s: %w", name, err)
 	}
-	folder, err := os.Open(d.dir)
+	dir, err := os.Open(d.dir)
 	if err != nil {
 		return fmt.Errorf("writing %s: %w", name, err)
 	}
-	return errors.Join(folder.Sync(), folder.Close())
+	return errors.Join(dir.Sync(), dir.Close())
 }
 
-// removeStaleSnapshots removes snapshots that the log does not follow, which a crash leaves behind.
+// removeStaleSnapshots removes snapshots that the log does not refer to, such as one left by a crash before replaceLog.
 func (d *disk) removeStaleSnapshots(memory *raft.MemoryStorage) error {
 	snapshot, err := memory.Snapshot()
 	if err != nil {
@@ -149,7 +149,7 @@
 	return d.removeSnapshotsExcept(snapshot.GetMetadata().GetIndex())
 }
 
-// removeSnapshotsExcept removes all snapshots but that of an index.
+// removeSnapshotsExcept removes all snapshots except the one at index.
 func (d *disk) removeSnapshotsExcept(index uint64) error {
 	entries, err := os.ReadDir(d.dir)
 	if err != nil {
@@ -167,13 +167,13 @@
 	return nil
 }
 
-// append appends a hard state and entries to the log.
+// append appends a hard state and entries to the log file, and syncs it if sync is set.
 func (d *disk) append(state *pb.HardState, entries []*pb.Entry, sync bool) error {
 	if raft.IsEmptyHardState(state) && len(entries) == 0 {
 		return nil
 	}
-	if d.file == nil { // a member that waits to be added has no log yet
-		if err := d.replace(logName, nil); err != nil {
+	if d.file == nil { // a member that has not been added yet has no log file
+		if err := d.writeFile(logName, nil); err != nil {
 			return err
 		}
 		file, err := os.OpenFile(d.path(logName), os.O_WRONLY|os.O_APPEND, 0o600)
@@ -199,7 +199,6 @@
 	return nil
 }
 
-// close closes the log file.
 func (d *disk) close() error {
 	if d.file == nil {
 		return nil
--- a/internal/consensus/logger.go
+++ b/internal/consensus/logger.go
@@ -8,19 +8,18 @@
 	"go.etcd.io/raft/v3"
 )
 
-// logger passes the log lines of the raft library on. A panic of the library stops the member, not the process:
-// see [Node.Run].
+// logger writes log lines of the raft library to a slog.Logger. A panic of the library stops the member, not the
+// process: see [Node.Run].
 type logger struct{ log *slog.Logger }
 
 var _ raft.Logger = logger{}
 
-// libraryPanic is the value that a panic of the raft library carries.
+// libraryPanic is the panic value for Fatal and Panic calls of the raft library.
 type libraryPanic struct{ text string }
 
-// libraryMessage is the message of each log line of the raft library; its text is an attribute.
+// libraryMessage is the constant message of all log lines of the raft library. The library's text is an attribute.
 const libraryMessage = "quorum: raft library"
 
-// write logs a text of the raft library.
 func (l logger) write(level slog.Level, text string) {
 	l.log.Log(context.Background(), level, libraryMessage, "text", text)
 }
--- a/internal/consensus/node.go
+++ b/internal/consensus/node.go
@@ -13,38 +13,38 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// maxPendingRequests bounds the queue of a member's goroutine.
+// maxPendingRequests bounds the request queue of a member's goroutine.
 const maxPendingRequests = 1024
 
 // Sender sends messages to other members. Its methods do not block on the network.
 type Sender interface {
-	// Send queues a message. One that can't be sent is dropped.
+	// Send queues a message, or drops it if it can't be sent.
 	Send(m Message)
-	// Close stops requests in progress and returns once they have ended.
+	// Close cancels requests in progress and waits until they have ended.
 	Close()
 }
 
 // Message is an encoded message to another member.
 type Message struct {
 	To       uint64
-	Snapshot bool // the message carries a snapshot, and may be long
+	Snapshot bool // the message carries a snapshot and may be large
 	Text     []byte
 }
 
-// Status is what a member knows of the quorum.
+// Status is a member's view of the quorum.
 type Status struct {
 	ID      uint64 `json:"id"`
-	Leader  uint64 `json:"leader"` // 0 if none is known
+	Leader  uint64 `json:"leader"` // 0 if unknown
 	Term    uint64 `json:"term"`
 	Applied uint64 `json:"applied"`
 	Commit  uint64 `json:"commit"`
 	LogSize int64  `json:"log_size"` // size of the log file in bytes
-	// Learner reports that the member receives the log but does not count for a majority yet: see ProposeVoter.
+	// Learner reports that the member receives the log but does not count toward a majority yet: see ProposeVoter.
 	Learner bool   `json:"learner,omitempty"`
-	Stopped string `json:"stopped,omitempty"`
+	Stopped string `json:"stopped,omitempty"` // reason why the member has stopped, empty while it runs
 }
 
-// Node is a member that runs. Its methods may be called from any goroutine.
+// Node is a running member. Its methods may be called from any goroutine.
 type Node struct {
 	core     *core
 	sender   Sender
@@ -53,10 +53,10 @@
 	status   atomic.Pointer[Status]
 }
 
-// Open opens a member's folder and restores the state machine. The caller has to call Run.
+// Open opens a member's folder and restores the state machine. The caller must then call Run.
 func Open(config Config, sender Sender) (*Node, error) {
 	if config.ID == 0 {
-		return nil, errors.New("a member has an id above 0")
+		return nil, errors.New("opening a member: Config.ID must not be 0")
 	}
 	c, err := newCore(config.withDefaults())
 	if err != nil {
@@ -67,8 +67,8 @@
 	return n, nil
 }
 
-// Run takes part in the quorum until the context ends, and then returns nil. It returns an error if the member
-// can't go on, for instance when its disk fails.
+// Run participates in the quorum until the context ends, and then returns nil. It returns an error if the member can't
+// continue, for example when its disk fails. Run closes the sender and the member's files before it returns.
 func (n *Node) Run(ctx context.Context) (err error) {
 	finished := make(chan *compaction, 1)
 	defer func() {
@@ -111,7 +111,8 @@
 	}
 }
 
-// stop publishes why the member stops, ends what it has started, and closes its files.
+// stop publishes the reason, closes the sender, waits for a compaction in progress and closes the log file. Run calls
+// it once, when it returns.
 func (n *Node) stop(reason error, finished <-chan *compaction) error {
 	n.publish(reason)
 	close(n.done)
@@ -134,7 +135,7 @@
 	}
 }
 
-// publish stores the status for other goroutines.
+// publish stores the member's status for readers in other goroutines. A non-nil stopped is the reason why it stopped.
 func (n *Node) publish(stopped error) {
 	basic := n.core.raw.BasicStatus()
 	s := &Status{
@@ -147,13 +148,14 @@
 	n.status.Store(s)
 }
 
-// Status returns what the member knows of the quorum.
+// Status returns the latest published status.
 func (n *Node) Status() Status { return *n.status.Load() }
 
 // Done returns a channel that is closed when the member has stopped.
 func (n *Node) Done() <-chan struct{} { return n.done }
 
-// enqueue has the member's goroutine call a request, and does not wait for it. It returns ErrStopped or ErrBusy.
+// enqueue queues a request for the member's goroutine and does not wait for it. It returns ErrStopped or ErrBusy if the
+// request was not queued. An error of the request itself stops the member.
 func (n *Node) enqueue(request func() error) error {
 	select {
 	case <-n.done:
@@ -168,8 +170,8 @@
 	}
 }
 
-// Propose proposes an entry and does not wait until it is committed. It may be committed at any later time, more
-// than once, or never.
+// Propose proposes an entry and does not wait until it is committed. The entry may be committed at any later time,
+// more than once, or never.
 func (n *Node) Propose(data []byte) error {
 	if len(data) > MaxEntryBytes {
 		return fmt.Errorf("%w: %d bytes, %d at most", ErrTooLong, len(data), MaxEntryBytes)
@@ -180,13 +182,13 @@
 	})
 }
 
-// ProposeLearner proposes to add a member that receives the log, with an entry for the state machine. The member
-// does not count for a majority before ProposeVoter, so one that does not run yet blocks nobody.
+// ProposeLearner proposes to add a member that receives the log, with an entry for the state machine. The member does
+// not count toward a majority until ProposeVoter, so a member that is not running yet can't block commits.
 func (n *Node) ProposeLearner(id uint64, data []byte) error {
 	return n.proposeChange(pb.ConfChangeAddLearnerNode, id, data)
 }
 
-// ProposeVoter proposes that a member counts for a majority, with an entry for the state machine.
+// ProposeVoter proposes to count a member toward a majority, with an entry for the state machine.
 func (n *Node) ProposeVoter(id uint64, data []byte) error {
 	return n.proposeChange(pb.ConfChangeAddNode, id, data)
 }
@@ -204,20 +206,21 @@
 	})
 }
 
-// readMemberChange decodes an entry that changes the members.
+// readMemberChange decodes the data of a membership change entry.
 func readMemberChange(data []byte) (*pb.ConfChangeV2, error) {
 	change := &pb.ConfChangeV2{}
 	return change, proto.Unmarshal(data, change)
 }
 
-// logDropped logs that the raft library dropped a proposal: there is no leader, or too much is uncommitted.
+// logDropped logs an error of a proposal. The raft library drops a proposal if there is no leader or too much is
+// uncommitted.
 func (n *Node) logDropped(err error) {
 	if err != nil {
 		n.core.config.Log.Debug("quorum: proposal dropped", "err", err)
 	}
 }
 
-// Receive handles an encoded message of another member. It returns ErrStopped or ErrBusy if the message was not
+// Receive queues an encoded message from another member. It returns ErrStopped or ErrBusy if the message was not
 // queued.
 func (n *Node) Receive(text []byte) error {
 	m := &pb.Message{}
@@ -227,21 +230,21 @@
 	return n.enqueue(func() error { return n.core.receive(m) })
 }
 
-// Unreachable reports to the raft library that a message did not reach a member.
+// Unreachable reports to the raft library that a message was not delivered to a member.
 func (n *Node) Unreachable(id uint64) {
-	_ = n.enqueue(func() error { // a stopped member needs no report
+	_ = n.enqueue(func() error { // the report is not needed if this member has stopped
 		n.core.raw.ReportUnreachable(id)
 		return nil
 	})
 }
 
-// SnapshotSent reports to the raft library whether a snapshot has reached a member.
-func (n *Node) SnapshotSent(id uint64, reached bool) {
+// SnapshotSent reports to the raft library whether a snapshot was delivered to a member.
+func (n *Node) SnapshotSent(id uint64, delivered bool) {
 	status := raft.SnapshotFinish
-	if !reached {
+	if !delivered {
 		status = raft.SnapshotFailure
 	}
-	_ = n.enqueue(func() error { // a stopped member needs no report
+	_ = n.enqueue(func() error { // the report is not needed if this member has stopped
 		n.core.raw.ReportSnapshot(id, status)
 		return nil
 	})
--- a/internal/consensus/records.go
+++ b/internal/consensus/records.go
@@ -12,22 +12,22 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Kinds of records in the log file. Each record is a frame whose payload begins with the kind.
+// Kinds of records in the log file. Each record is a frame; the first byte of its payload is the kind.
 const (
-	recordSnapshot  = byte(iota + 1) // index of the snapshot that the log follows; the first record
-	recordHardState                  // the latest one counts
+	recordSnapshot  = byte(iota + 1) // index of the snapshot that the log begins at; the first record
+	recordHardState                  // the latest one applies
 	recordEntry
 )
 
-// read loads the records of a log into memory and returns the length in bytes of its valid part. It returns ErrDamaged
-// for a changed payload or checksum with a frame behind it.
+// readRecords loads the records of a log into memory and returns the length in bytes of its valid part. It returns
+// ErrDamaged for a changed payload or checksum of a frame that more data follows.
 //
-// A length that was changed so that the frame ends behind the end of the file can't be distinguished from a frame that a crash has
-// cut off: the valid part ends there, and nothing is logged of the records behind it, hard states and entries.
-func (d *disk) read(text []byte, memory *raft.MemoryStorage) (int64, error) {
+// A frame whose length was changed to end past the end of the file can't be distinguished from a frame that a crash has
+// cut off. The valid part ends before it, and the loss of the hard states and entries after it is not logged.
+func (d *disk) readRecords(text []byte, memory *raft.MemoryStorage) (int64, error) {
 	rest := text
 	for len(rest) > 0 {
-		payload, after, err := frame.Next(rest)
+		payload, next, err := frame.Next(rest)
 		if err != nil {
 			if errors.Is(err, frame.ErrChecksum) && !isLastFrame(rest) {
 				return 0, fmt.Errorf("%w: at byte %d: %w", ErrDamaged, len(text)-len(rest), err)
@@ -37,30 +37,30 @@
 		if err := d.readRecord(payload, memory); err != nil {
 			return 0, fmt.Errorf("%w: at byte %d: %w", ErrDamaged, len(text)-len(rest), err)
 		}
-		rest = after
+		rest = next
 	}
 	return int64(len(text) - len(rest)), nil
 }
 
-// isLastFrame reports whether the first frame of data reaches its end, so that a crash may have cut it off.
+// isLastFrame reports whether no data follows the first frame of data, so that a crash may have cut the frame off.
 func isLastFrame(data []byte) bool {
 	size := int64(binary.LittleEndian.Uint32(data))
 	return size+frame.HeaderSize >= int64(len(data))
 }
 
-// errRecord reports a record that is not valid at its place.
-var errRecord = errors.New("a record makes no sense")
+// errInvalidRecord reports a record with an unknown kind or with content that is invalid at its position in the log.
+var errInvalidRecord = errors.New("invalid record")
 
-// readRecord loads one record into memory.
+// readRecord decodes one record and applies it to memory.
 func (d *disk) readRecord(payload []byte, memory *raft.MemoryStorage) error {
 	if len(payload) == 0 {
-		return errRecord
+		return errInvalidRecord
 	}
 	body := payload[1:]
 	switch payload[0] {
 	case recordSnapshot:
 		if len(body) != 8 {
-			return errRecord
+			return errInvalidRecord
 		}
 		snapshot, err := d.readSnapshot(binary.LittleEndian.Uint64(body))
 		if err != nil {
@@ -76,10 +76,10 @@
 	case recordEntry:
 		return readEntry(body, memory)
 	}
-	return errRecord
+	return errInvalidRecord
 }
 
-// readEntry loads an entry into memory; it replaces those from its index on.
+// readEntry appends an entry to memory and replaces the existing entries from its index on.
 func readEntry(body []byte, memory *raft.MemoryStorage) error {
 	entry := &pb.Entry{}
 	if err := proto.Unmarshal(body, entry); err != nil {
@@ -94,12 +94,12 @@
 		return err
 	}
 	if entry.GetIndex() < first || entry.GetIndex() > last+1 {
-		return fmt.Errorf("%w: entry %d, and %d to %d may follow", errRecord, entry.GetIndex(), first, last+1)
+		return fmt.Errorf("%w: got entry %d, want %d to %d", errInvalidRecord, entry.GetIndex(), first, last+1)
 	}
 	return memory.Append([]*pb.Entry{entry})
 }
 
-// readSnapshot reads the snapshot of an index.
+// readSnapshot reads the snapshot at index.
 func (d *disk) readSnapshot(index uint64) (*pb.Snapshot, error) {
 	text, err := os.ReadFile(d.path(snapshotName(index)))
 	if err != nil {
@@ -107,19 +107,19 @@
 	}
 	payload, _, err := frame.Next(text)
 	if err != nil {
-		return nil, fmt.Errorf("the snapshot of %d: %w", index, err)
+		return nil, fmt.Errorf("reading snapshot %d: %w", index, err)
 	}
 	snapshot := &pb.Snapshot{}
 	if err := proto.Unmarshal(payload, snapshot); err != nil {
-		return nil, fmt.Errorf("the snapshot of %d: %w", index, err)
+		return nil, fmt.Errorf("reading snapshot %d: %w", index, err)
 	}
 	if snapshot.GetMetadata().GetIndex() != index {
-		return nil, fmt.Errorf("%w: the snapshot of %d is of %d", errRecord, index, snapshot.GetMetadata().GetIndex())
+		return nil, fmt.Errorf("%w: the file of snapshot %d has snapshot %d", errInvalidRecord, index, snapshot.GetMetadata().GetIndex())
 	}
 	return snapshot, nil
 }
 
-// appendRecords appends the records of a hard state and of entries.
+// appendRecords appends the records of a hard state, unless it is empty, and of entries to text.
 func appendRecords(text []byte, state *pb.HardState, entries []*pb.Entry) ([]byte, error) {
 	if !raft.IsEmptyHardState(state) {
 		body, err := proto.Marshal(state)
--- a/internal/consensus/transport.go
+++ b/internal/consensus/transport.go
@@ -16,33 +16,33 @@
 	"wingmount/internal/store/frame"
 )
 
-// Bounds of the messages between members.
+// Limits of messages between members.
 const (
-	// maxQueuedMessages bounds the queue to one member. More are dropped; the raft library sends them again.
+	// maxQueuedMessages bounds the queue to one member. Further messages are dropped; the raft library resends them.
 	maxQueuedMessages = 256
-	// maxBatchBytes is the size of one request at which no more messages are added.
+	// maxBatchBytes is the size of a request from which on no more messages are added to it.
 	maxBatchBytes = 2 << 20
-	// MaxBodyBytes is the size of the largest request, one that carries a snapshot.
+	// MaxBodyBytes is the maximum size of a request. The largest requests carry a snapshot.
 	MaxBodyBytes = 512 << 20
-	// Timeouts of a request, without and with a snapshot, and of a connection.
+	// Timeouts of a request without a snapshot, of a request with one, and of connecting.
 	sendTimeout     = 2 * time.Second
 	snapshotTimeout = time.Minute
 	dialTimeout     = time.Second
-	// unreachablePause is the time for which messages to a member are dropped after a request to it has failed.
+	// unreachablePause is the time for which messages to a member are dropped after a failed request to it.
 	unreachablePause = 100 * time.Millisecond
 )
 
-// MessagesPath is the HTTP path at which a member receives messages, by POST. The body has one frame (package
-// frame) for each message.
+// MessagesPath is the HTTP path at which a member receives messages by POST. The body contains one frame (package
+// frame) per message.
 const MessagesPath = "/v1/quorum/messages"
 
-// Reporter receives the outcome of messages.
+// Reporter receives delivery reports for messages. [Node] implements it.
 type Reporter interface {
 	Unreachable(id uint64)
-	SnapshotSent(id uint64, reached bool)
+	SnapshotSent(id uint64, delivered bool)
 }
 
-// Transport sends messages to members over HTTP. It implements [Sender]. Its methods may be called from any
+// Transport sends messages to other members over HTTP. It implements [Sender]. Its methods may be called from any
 // goroutine.
 type Transport struct {
 	client  *http.Client
@@ -58,7 +58,7 @@
 	closed   bool
 }
 
-// peer is another member and the queue of messages to it.
+// peer is another member with its queue of outgoing messages.
 type peer struct {
 	id       uint64
 	address  string
@@ -66,9 +66,9 @@
 	stop     context.CancelFunc
 }
 
-// NewTransport returns a transport without members; the node that sends by it closes it. Origin identifies the log
-// that this member began with, empty if unknown: see [ServeMessages]. A nil tripper stands for a transport of its
-// own.
+// NewTransport returns a transport without members. The [Node] that uses it as its sender closes it. Origin identifies
+// the log that this member began with; it is empty if unknown: see [ServeMessages]. If tripper is nil, the Transport
+// creates its own http.Transport.
 func NewTransport(origin string, tripper http.RoundTripper, log *slog.Logger) *Transport {
 	if tripper == nil {
 		tripper = &http.Transport{
@@ -84,41 +84,42 @@
 	}
 }
 
-// originHeader is the HTTP header with the origin of the sender's log.
+// originHeader is the HTTP header that carries the origin of the sender's log.
 const originHeader = "X-Quorum-Origin"
 
-// Origin identifies the log that members begin with. Members with other initial members, or another state, have
-// another log and must not accept each other's messages.
-func Origin(first []uint64, initialState []byte) string {
-	if len(first) == 0 {
+// Origin returns an identifier of the log that the members begin with, or an empty one without initial members. Members
+// with different initial members or a different initial state have different logs and must not accept each other's
+// messages.
+func Origin(initialMembers []uint64, initialState []byte) string {
+	if len(initialMembers) == 0 {
 		return ""
 	}
 	sum := sha256.New()
-	sum.Write(fmt.Appendln(nil, first))
+	sum.Write(fmt.Appendln(nil, initialMembers))
 	sum.Write(initialState)
 	return hex.EncodeToString(sum.Sum(nil)[:originDigestBytes])
 }
 
-// originDigestBytes is the length of the part of the digest that an origin has.
+// originDigestBytes is the length to which the digest of an origin is truncated.
 const originDigestBytes = 12
 
-// SetReporter sets who receives the outcome of messages.
-func (t *Transport) SetReporter(to Reporter) {
+// SetReporter sets the receiver of delivery reports.
+func (t *Transport) SetReporter(reporter Reporter) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.reporter = to
+	t.reporter = reporter
 }
 
-// SetMembers sets the addresses (HOST:PORT) of all members to send to, by id.
+// SetMembers sets the addresses (HOST:PORT) of all destination members by id, and drops the queues of other members.
 func (t *Transport) SetMembers(addresses map[uint64]string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.closed {
 		return
 	}
-	for id, known := range t.peers {
-		if addresses[id] != known.address {
-			known.stop()
+	for id, p := range t.peers {
+		if addresses[id] != p.address {
+			p.stop()
 			delete(t.peers, id)
 		}
 	}
@@ -143,7 +144,7 @@
 	}
 	select {
 	case p.messages <- m:
-	default: // the raft library sends it again
+	default: // the queue is full; the raft library resends the message
 	}
 }
 
@@ -157,7 +158,7 @@
 	t.client.CloseIdleConnections()
 }
 
-// sendLoop sends a member's messages until the context ends.
+// sendLoop sends queued messages to a member until the context ends.
 func (t *Transport) sendLoop(ctx context.Context, p *peer) {
 	for {
 		var batch []Message
@@ -175,12 +176,12 @@
 	}
 }
 
-// nextBatch returns a message and those queued behind it, up to maxBatchBytes.
-func nextBatch(first Message, more <-chan Message) []Message {
+// nextBatch returns a message and those queued after it, until their size reaches maxBatchBytes.
+func nextBatch(first Message, queue <-chan Message) []Message {
 	batch, size := []Message{first}, len(first.Text)
 	for size < maxBatchBytes {
 		select {
-		case m := <-more:
+		case m := <-queue:
 			batch = append(batch, m)
 			size += len(m.Text)
 		default:
@@ -190,12 +191,12 @@
 	return batch
 }
 
-// pauseAfterFailure reports that a batch was not delivered, and drops further messages for unreachablePause.
+// pauseAfterFailure reports that a batch was not delivered, and then drops further messages for unreachablePause.
 func (t *Transport) pauseAfterFailure(ctx context.Context, p *peer, batch []Message, err error) {
 	if ctx.Err() != nil {
 		return
 	}
-	t.log.Debug("quorum: member not reached", "member", p.id, "address", p.address, "err", err)
+	t.log.Debug("quorum: sending messages to member failed", "member", p.id, "address", p.address, "err", err)
 	t.reportDelivery(p, batch, false)
 	timer := time.NewTimer(unreachablePause)
 	defer timer.Stop()
@@ -211,28 +212,28 @@
 	}
 }
 
-// reportDelivery reports whether messages were delivered.
-func (t *Transport) reportDelivery(p *peer, batch []Message, reached bool) {
+// reportDelivery reports to the Reporter whether a batch was delivered.
+func (t *Transport) reportDelivery(p *peer, batch []Message, delivered bool) {
 	t.mu.Lock()
 	reporter := t.reporter
 	t.mu.Unlock()
 	if reporter == nil {
 		return
 	}
-	if !reached {
+	if !delivered {
 		reporter.Unreachable(p.id)
 	}
 	for _, m := range batch {
 		if m.Snapshot {
-			reporter.SnapshotSent(p.id, reached)
+			reporter.SnapshotSent(p.id, delivered)
 		}
 	}
 }
 
-// errStatus reports that a member did not accept messages.
-var errStatus = errors.New("the member did not take the messages")
+// errNotAccepted reports that a member answered a request with a status other than 204.
+var errNotAccepted = errors.New("member did not accept the messages")
 
-// post sends messages in one request.
+// post sends messages to a member in one request.
 func (t *Transport) post(ctx context.Context, p *peer, batch []Message) error {
 	timeout := sendTimeout
 	var body []byte
@@ -255,17 +256,17 @@
 	}
 	defer func() { _ = response.Body.Close() }() // nothing is read from it
 	if response.StatusCode != http.StatusNoContent {
-		return fmt.Errorf("%w: %s", errStatus, response.Status)
+		return fmt.Errorf("%w: %s", errNotAccepted, response.Status)
 	}
 	return nil
 }
 
-// Receiver receives encoded messages.
+// Receiver receives encoded messages. [Node] implements it.
 type Receiver interface{ Receive(text []byte) error }
 
-// ServeMessages passes the messages of a request to a receiver. It answers 409 if the sender's log has another
-// origin, 400 if the body is malformed, and 503 if the receiver refuses a message.
-func ServeMessages(w http.ResponseWriter, r *http.Request, origin string, to Receiver) {
+// ServeMessages passes the messages of a request to a receiver. It responds with 409 if the sender's log has a
+// different origin, 400 if the body is malformed, and 503 if the receiver rejects a message.
+func ServeMessages(w http.ResponseWriter, r *http.Request, origin string, receiver Receiver) {
 	if other := r.Header.Get(originHeader); other != "" && origin != "" && other != origin {
 		http.Error(w, "this member began with another log", http.StatusConflict)
 		return
@@ -281,7 +282,7 @@
 			http.Error(w, err.Error(), http.StatusBadRequest)
 			return
 		}
-		if err := to.Receive(payload); err != nil {
+		if err := receiver.Receive(payload); err != nil {
 			http.Error(w, err.Error(), http.StatusServiceUnavailable)
 			return
 		}
