--- a/internal/clusterspec/clusterspec_test.go
+++ b/internal/clusterspec/clusterspec_test.go
@@ -62,7 +62,7 @@
 	})
 }
 
-func TestParse(t *testing.T) {
+func TestParseSetsDefaultsAndReportsFaults(t *testing.T) {
 	spec, err := Parse([]byte(specText))
 	if err != nil {
 		t.Fatal(err)
@@ -86,12 +86,12 @@
 	}
 }
 
-func TestDestinationConfigValidate(t *testing.T) {
-	good := testConfig(7)
-	if err := good.Validate(); err != nil {
+func TestDestinationConfigValidateReportsFaults(t *testing.T) {
+	valid := testConfig(7)
+	if err := valid.Validate(); err != nil {
 		t.Fatal(err)
 	}
-	for message, spoil := range map[string]func(*DestinationConfig){
+	for message, invalidate := range map[string]func(*DestinationConfig){
 		"destination 7: it has no endpoint":           func(r *DestinationConfig) { r.Endpoints = nil },
 		"limit: -1 is not between":                    func(r *DestinationConfig) { r.Limit = -1 },
 		"bundle: 101 is not between 1 and 100":        func(r *DestinationConfig) { r.Bundle = 101 },
@@ -100,16 +100,17 @@
 		`address: "nowhere" is no HOST:PORT`:          func(r *DestinationConfig) { r.Endpoints[0].Address = "nowhere" },
 		"there are 257 endpoints, 256 at most":        func(r *DestinationConfig) { r.Endpoints = make([]Endpoint, 257) },
 	} {
-		bad := testConfig(7)
-		spoil(&bad)
-		if err := bad.Validate(); !errors.Is(err, ErrInvalidConfig) || !strings.Contains(err.Error(), message) {
+		invalid := testConfig(7)
+		invalidate(&invalid)
+		if err := invalid.Validate(); !errors.Is(err, ErrInvalidConfig) || !strings.Contains(err.Error(), message) {
 			t.Errorf("got %v, want an error with %q", err, message)
 		}
 	}
 }
 
-// An endpoint that keeps its name in another building, for another destination or of another kind has another id.
-func TestEndpointID(t *testing.T) {
+// An endpoint's id differs from that of an endpoint of the same name in another zone, of another destination or of
+// another kind. A new address or draining does not change the id.
+func TestEndpointIDDependsOnZoneDestinationAndKind(t *testing.T) {
 	config := testConfig(7)
 	endpoint := config.Endpoints[0]
 	ids := map[string]bool{config.EndpointID(endpoint): true}
@@ -126,11 +127,11 @@
 	config.Bundle = 1
 	endpoint.Address, endpoint.Draining = "127.0.0.1:9", true
 	if !ids[config.EndpointID(endpoint)] {
-		t.Error("an endpoint that moves to another address, or drains, has another id")
+		t.Error("got another id after a change of address and draining, want the same")
 	}
 }
 
-func TestParseConfigs(t *testing.T) {
+func TestParseWithConfigsValidatesEndpoints(t *testing.T) {
 	const two = "[[destination]]\nnumber=5\nrate=1\nlimit=20\n[[destination.endpoint]]\nname=\"a\"\naddress=\"h:1\"\nbuilding=\"b\"\n" +
 		"[[destination]]\nnumber=6\nrate=1\nroutes_apart=true\nbundle=3\n"
 	const second = "[[destination.endpoint]]\nname=\"c\"\naddress=\"h:2\"\nbuilding=\"b\"\ndrains=true\n"
@@ -140,7 +141,7 @@
 	}
 	want := DestinationConfig{Destination: 6, RoutesApart: true, Bundle: 3, Endpoints: []Endpoint{{Name: "c", Address: "h:2", Zone: "b", Draining: true}}}
 	if got := spec.Destinations[1].Config(); !got.Equal(&want) {
-		t.Errorf("%+v, want %+v", got, want)
+		t.Errorf("got %+v, want %+v", got, want)
 	}
 	for message, text := range map[string]string{
 		"destination 6: it has no endpoint":                               two,
@@ -171,8 +172,9 @@
 	})
 }
 
-// TestTypeErrorsKeepNames wants the texts of wrong types that operators have seen since before types were renamed.
-func TestTypeErrorsKeepNames(t *testing.T) {
+// Errors for values of the wrong type keep the names of Go types and fields that operators know, although the types and
+// fields were renamed.
+func TestParseTypeErrorHasReportedNames(t *testing.T) {
 	t.Parallel()
 	for _, test := range []struct{ name, text, want string }{
 		{"node", "[[node]]\nweight = \"x\"\n", "line 2, column 10: toml: cannot decode TOML string into struct field control.Node.Weight of type float64"},
--- a/internal/clusterspec/delta.go
+++ b/internal/clusterspec/delta.go
@@ -6,7 +6,7 @@
 	"wingmount/decide/placement"
 )
 
-// Delta is the difference of two specs.
+// Delta is the difference between two specs. See [Diff] and [Spec.Apply].
 type Delta struct {
 	Nodes               []Node                    `json:"nodes,omitempty"` // new and changed ones
 	RemovedNodes        []string                  `json:"removed_nodes,omitempty"`
@@ -14,13 +14,13 @@
 	RemovedDestinations []placement.DestinationID `json:"removed_destinations,omitempty"`
 }
 
-// SetDefaults fills in what the nodes and destinations of a delta leave out.
+// SetDefaults sets the defaults of fields that are not set in the nodes and destinations of the delta.
 func (d *Delta) SetDefaults() {
 	changed := Spec{Nodes: d.Nodes, Destinations: d.Destinations}
 	changed.setDefaults()
 }
 
-// Append appends a later delta.
+// Append adds the changes of a later delta. Where both change an element, the later one is applied last.
 func (d *Delta) Append(later Delta) {
 	d.Nodes = append(d.Nodes, later.Nodes...)
 	d.RemovedNodes = append(d.RemovedNodes, later.RemovedNodes...)
@@ -33,10 +33,10 @@
 	return len(d.Nodes)+len(d.RemovedNodes)+len(d.Destinations)+len(d.RemovedDestinations) == 0
 }
 
-// Apply returns the spec with a delta applied. The spec itself does not change.
+// Apply returns a new spec with a delta applied: removals first, then new and changed elements.
 func (s *Spec) Apply(delta Delta) *Spec {
-	removedNodes := setOf(delta.RemovedNodes)
-	removed := setOf(delta.RemovedDestinations)
+	removedNodes := keySet(delta.RemovedNodes)
+	removed := keySet(delta.RemovedDestinations)
 	next := &Spec{
 		Nodes:        slices.DeleteFunc(slices.Clone(s.Nodes), func(n Node) bool { return removedNodes[n.Name] }),
 		Destinations: slices.DeleteFunc(slices.Clone(s.Destinations), func(d Destination) bool { return removed[d.Number] }),
@@ -46,7 +46,7 @@
 	return next
 }
 
-func setOf[K comparable](keys []K) map[K]bool {
+func keySet[K comparable](keys []K) map[K]bool {
 	set := make(map[K]bool, len(keys))
 	for _, key := range keys {
 		set[key] = true
@@ -54,10 +54,11 @@
 	return set
 }
 
-// maxLinearSearches is the number of changed elements up to which each is searched for, without an index of all.
+// maxLinearSearches is the maximum number of changed elements that are found by linear search. For more, replaceByKey
+// builds an index of all elements.
 const maxLinearSearches = 16
 
-// replaceByKey replaces elements by changed ones with the same key, and appends new ones.
+// replaceByKey replaces elements with the changed ones of the same key, and appends new ones. It modifies all.
 func replaceByKey[K comparable, V any](all, changed []V, key func(*V) K) []V {
 	if len(changed) <= maxLinearSearches {
 		for i := range changed {
@@ -87,7 +88,7 @@
 	return all
 }
 
-// Diff returns the delta that leads from one spec to another.
+// Diff returns the delta that changes from into to.
 func Diff(from, to *Spec) Delta {
 	var delta Delta
 	delta.Nodes, delta.RemovedNodes = diffByKey(from.Nodes, to.Nodes,
@@ -97,8 +98,8 @@
 	return delta
 }
 
-// diffByKey returns the elements of to that are new or differ from those of the same key, and the keys that only from
-// has, both in order.
+// diffByKey returns the elements of to that are new or differ from the element of from with the same key, in the order of
+// to, and the keys that only from contains, in the order of from.
 func diffByKey[K comparable, V any](from, to []V, key func(*V) K, equal func(a, b *V) bool) (changed []V, removed []K) {
 	remaining := make(map[K]*V, len(from))
 	for i := range from {
@@ -112,24 +113,24 @@
 		delete(remaining, k)
 	}
 	for i := range from {
-		if _, gone := remaining[key(&from[i])]; gone {
+		if _, isRemoved := remaining[key(&from[i])]; isRemoved {
 			removed = append(removed, key(&from[i]))
 		}
 	}
 	return changed, removed
 }
 
-// maxPartBytes is the length of one part of a split delta as JSON at which the next part begins.
+// maxPartBytes bounds the JSON elements of one part of a split delta. A single longer element is a part of its own.
 const maxPartBytes = 256 << 10
 
-// splitter distributes the elements of a delta to parts of a bounded length.
+// splitter distributes the elements of a delta among parts of a bounded length.
 type splitter struct {
 	parts []Delta
 	part  Delta
-	bytes int // of part
+	bytes int // length of the elements of part as JSON
 }
 
-// add adds an element to the current part, or to a new one if it is too long for the current one.
+// add adds an element to the current part, or to a new part if the current one would exceed maxPartBytes.
 func (s *splitter) add(element any, appendTo func(part *Delta)) error {
 	text, err := json.Marshal(element)
 	if err != nil {
@@ -144,7 +145,8 @@
 	return nil
 }
 
-// Split splits a delta into parts of a bounded length as JSON, one at least. Applied in order they have the same effect.
+// Split splits a delta into one or more parts of a bounded length as JSON. Applying them in order has the same effect as
+// applying the delta.
 func (d *Delta) Split() ([]Delta, error) {
 	var s splitter
 	for _, name := range d.RemovedNodes {
--- a/internal/clusterspec/index.go
+++ b/internal/clusterspec/index.go
@@ -2,13 +2,13 @@
 
 import "wingmount/decide/placement"
 
-// Index is a spec and the maps by which its parts are found. It does not change.
+// Index is a spec with lookup maps for its nodes and destinations. It is immutable.
 type Index struct {
 	*Spec
 	distributesConfigs bool
 	nodes              map[placement.NodeID]Node
 	numbers            map[string]placement.DestinationID
-	positions          map[placement.DestinationID]int32 // in Spec.Destinations
+	positions          map[placement.DestinationID]int32 // indexes in Spec.Destinations
 }
 
 // NewIndex returns the index of a spec.
@@ -32,28 +32,28 @@
 	return index
 }
 
-// DistributesConfigs reports whether the spec has the configs of its destinations.
+// DistributesConfigs reports whether the spec contains the configs of its destinations.
 func (x *Index) DistributesConfigs() bool { return x.distributesConfigs }
 
-// Node returns a node by its name, false if the spec has none.
+// Node returns a node by its name, or false if the spec does not contain it.
 func (x *Index) Node(id placement.NodeID) (Node, bool) {
 	node, known := x.nodes[id]
 	return node, known
 }
 
-// Destination returns the number of a destination by its name, false if the spec has none.
+// Destination returns the number of a destination by its name, or false if the spec does not contain it.
 func (x *Index) Destination(name string) (placement.DestinationID, bool) {
 	number, known := x.numbers[name]
 	return number, known
 }
 
-// HasDestination reports whether the spec has a destination.
+// HasDestination reports whether the spec contains a destination.
 func (x *Index) HasDestination(destination placement.DestinationID) bool {
 	_, known := x.positions[destination]
 	return known
 }
 
-// Config returns the config of a destination, false if the spec has none.
+// Config returns the config of a destination, or false if the spec does not contain it.
 func (x *Index) Config(destination placement.DestinationID) (DestinationConfig, bool) {
 	position, known := x.positions[destination]
 	if !known || !x.distributesConfigs {
@@ -62,7 +62,7 @@
 	return x.Destinations[position].Config(), true
 }
 
-// ChangedConfigs returns the destinations whose config differs from that of an earlier spec.
+// ChangedConfigs returns the destinations whose config is not in an earlier spec or differs from it.
 func (x *Index) ChangedConfigs(earlier *Index) []placement.DestinationID {
 	var changed []placement.DestinationID
 	for i := range x.Destinations {
--- a/internal/clusterspec/parse.go
+++ b/internal/clusterspec/parse.go
@@ -9,10 +9,10 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// MaxBytes is the size of the largest settings file, and of the largest change of a spec.
+// MaxBytes is the maximum size of a settings file, and of a change of a spec.
 const MaxBytes = 128 << 20
 
-// Load reads, completes and validates a settings file.
+// Load reads a settings file, sets defaults and validates it: see Parse.
 func Load(path string) (*Spec, error) {
 	info, err := os.Stat(path)
 	if err != nil {
@@ -32,8 +32,8 @@
 	return spec, nil
 }
 
-// Parse reads the text of a settings file (TOML), fills in what it leaves out, and validates it. An unknown key is an
-// error. The error joins all faults, up to maxErrors.
+// Parse decodes the text of a settings file (TOML), sets defaults, and validates it. An unknown key is an error. The
+// returned error joins up to maxErrors faults.
 func Parse(text []byte) (*Spec, error) {
 	if len(text) > MaxBytes {
 		return nil, fmt.Errorf("more than %d bytes", MaxBytes)
@@ -51,7 +51,7 @@
 	return spec, nil
 }
 
-// withPosition adds lines and columns to the errors of the decoder.
+// withPosition adds lines and columns to decoder errors.
 func withPosition(err error) error {
 	var strict *toml.StrictMissingError
 	if errors.As(err, &strict) {
@@ -71,14 +71,14 @@
 	return err
 }
 
-// typeError is an error of the decoder with the names of types and fields that operators know.
+// typeError is a decoder error. Its text has the reported names of Go types and fields: see reportedNames.
 type typeError struct{ err error }
 
 func (e typeError) Error() string { return reportedNames.Replace(e.err.Error()) }
 func (e typeError) Unwrap() error { return e.err }
 
-// reportedNames replaces names of Go types and fields in errors of the decoder. Operators see these texts, so they stay as
-// they were before the types were renamed.
+// reportedNames replaces names of Go types and fields in decoder errors. Operators see these texts, so renaming the types
+// and fields must not change them.
 var reportedNames = strings.NewReplacer(
 	"clusterspec.Endpoint.Zone of", "control.Endpoint.Building of",
 	"clusterspec.Endpoint.Draining of", "control.Endpoint.Drains of",
--- a/internal/clusterspec/spec.go
+++ b/internal/clusterspec/spec.go
@@ -1,20 +1,20 @@
-// Package clusterspec is the desired state of a fleet: which delivery nodes there are, and which destinations they are
-// to deliver to. A control process assigns the destinations of a [Spec] to its nodes.
+// Package clusterspec defines the desired state of a cluster: its delivery nodes, and the destinations that they deliver
+// to. A control process assigns the destinations of a [Spec] to its nodes.
 //
-// The settings file, the agreed log and the HTTP interface of control machines carry a Spec or a [Delta] of two. A Spec
-// and its parts are values without a lock: nobody changes one that is in force.
+// The settings file, the replicated log and the HTTP interface of control machines contain a Spec, or a [Delta] between
+// two. A Spec and its parts have no lock. A Spec that is in use is never modified.
 //
-// # Names at the edge
+// # External names
 //
-// Some fields of the settings file and of JSON are themed. They are mapped here and nowhere else:
+// Some keys of the settings file and of JSON differ from the field names. Only this package maps them:
 //
-//	key              field                 what it is
+//	key              field                 meaning
 //	node             Spec.Nodes            delivery nodes
 //	destination      Spec.Destinations     destinations
 //	building         Endpoint.Zone         availability zone of an endpoint
-//	drains           Endpoint.Draining     the endpoint finishes what it has accepted
-//	routes_apart     RoutesApart           each endpoint has a limit and outages of its own
-//	bundle           Bundle                messages in one call at most
+//	drains           Endpoint.Draining     the endpoint processes accepted messages and accepts no new ones
+//	routes_apart     RoutesApart           each endpoint has its own limit and its own outages
+//	bundle           Bundle                maximum number of messages in one call
 //
 // Start reading at [Spec], then [Parse] and [Diff].
 package clusterspec
@@ -30,17 +30,17 @@
 	Region  string  `toml:"region" json:"region"`
 	Zone    string  `toml:"zone" json:"zone"`
 	Weight  float64 `toml:"weight" json:"weight"`   // capacity relative to other nodes; 1 if left out
-	Address string  `toml:"address" json:"address"` // HOST:PORT that clients are redirected to
+	Address string  `toml:"address" json:"address"` // HOST:PORT to which clients are redirected
 }
 
-// Destination is a destination, with what placement needs of it and, if the spec distributes configs, its config.
+// Destination is a destination with the inputs of its placement and, if the spec distributes configs, its config.
 type Destination struct {
 	Number placement.DestinationID `toml:"number" json:"number"`
 	Name   string                  `toml:"name" json:"name,omitempty"`
 	Rate   float64                 `toml:"rate" json:"rate"`               // messages a second
 	Owners int                     `toml:"owners" json:"owners"`           // nodes that deliver to it; 2 if left out
-	Region string                  `toml:"region" json:"region,omitempty"` // of its owners; any if left out
-	// The following fields are for nodes without destinations in their own settings: see Config. Either all
+	Region string                  `toml:"region" json:"region,omitempty"` // region of its owners; any if left out
+	// The following fields are the config for nodes without destinations in their own settings: see Config. Either all
 	// destinations of a spec have endpoints, or none has.
 	Limit       float64    `toml:"limit" json:"limit,omitempty"`
 	RoutesApart bool       `toml:"routes_apart" json:"routes_apart,omitempty"`
@@ -55,24 +55,24 @@
 	defaultBundle = 1
 )
 
-// Config returns the config that nodes receive for the destination.
+// Config returns the destination's config, which the control process sends to nodes.
 func (d *Destination) Config() DestinationConfig {
 	return DestinationConfig{Destination: d.Number, Limit: d.Limit, RoutesApart: d.RoutesApart, Bundle: d.Bundle, Endpoints: d.Endpoints}
 }
 
-// equal reports whether two destinations are the same.
+// equal reports whether two destinations are equal, including their configs.
 func (d *Destination) equal(other *Destination) bool {
 	config, otherConfig := d.Config(), other.Config()
 	return config.Equal(&otherConfig) && d.Name == other.Name && d.Rate == other.Rate && d.Owners == other.Owners && d.Region == other.Region
 }
 
-// Spec is the desired state of a fleet.
+// Spec is the desired state of a cluster.
 type Spec struct {
 	Nodes        []Node        `toml:"node" json:"Nodes"`
 	Destinations []Destination `toml:"destination" json:"Destinations"`
 }
 
-// setDefaults fills in what a spec leaves out.
+// setDefaults sets the defaults of fields that are not set.
 func (s *Spec) setDefaults() {
 	for i := range s.Nodes {
 		if s.Nodes[i].Weight == 0 {
@@ -89,13 +89,14 @@
 	}
 }
 
-// DistributesConfigs reports whether the spec has the configs of its destinations, and not only their placement.
+// DistributesConfigs reports whether the spec contains the configs of its destinations in addition to their placement
+// inputs.
 func (s *Spec) DistributesConfigs() bool {
 	return slices.ContainsFunc(s.Destinations, func(d Destination) bool { return len(d.Endpoints) > 0 })
 }
 
-// ForRegion returns the part of a spec that one region's leader assigns: its nodes, and the destinations that they
-// may own.
+// ForRegion returns the part of a spec that one region's leader assigns: the region's nodes, and the destinations that
+// they may own.
 func (s *Spec) ForRegion(region string) *Spec {
 	part := &Spec{Destinations: make([]Destination, 0, len(s.Destinations))}
 	for _, node := range s.Nodes {
@@ -111,8 +112,8 @@
 	return part
 }
 
-// PlacementInput returns the input of a placement on those nodes for which eligible returns true. LoadBound is the
-// highest load of a node relative to its fair load.
+// PlacementInput returns the placement input with the nodes for which eligible returns true. LoadBound is the maximum
+// load of a node relative to its fair load.
 func (s *Spec) PlacementInput(eligible func(placement.NodeID) bool, draining map[placement.NodeID]bool, loadBound float64) placement.Input {
 	input := placement.Input{LoadBound: loadBound, Destinations: make([]placement.Destination, 0, len(s.Destinations))}
 	for _, node := range s.Nodes {
--- a/internal/clusterspec/validate.go
+++ b/internal/clusterspec/validate.go
@@ -9,13 +9,13 @@
 )
 
 const (
-	// MaxNodes is the largest number of nodes of a spec.
+	// MaxNodes is the maximum number of nodes of a spec.
 	MaxNodes = 4096
-	// maxErrors is the largest number of faults that one error joins.
+	// maxErrors is the maximum number of faults that one error joins.
 	maxErrors = 20
 )
 
-// faults collects what is wrong with a spec, up to maxErrors.
+// faults collects up to maxErrors errors of a spec.
 type faults []error
 
 func (f *faults) add(format string, args ...any) {
@@ -24,7 +24,7 @@
 	}
 }
 
-// Validate returns an error that joins what is wrong with a spec, or nil.
+// Validate returns an error that joins up to maxErrors faults of a spec, or nil.
 func (s *Spec) Validate() error {
 	var found faults
 	if len(s.Nodes) > MaxNodes {
@@ -82,7 +82,8 @@
 	}
 }
 
-// validateConfigs checks the configs of destinations, if the spec has them. Names of endpoints are unique in a spec.
+// validateConfigs checks the configs of destinations if the spec distributes them. Endpoint names must be unique in a
+// spec.
 func (s *Spec) validateConfigs(found *faults) {
 	if !s.DistributesConfigs() {
 		return
--- a/internal/consensus/core.go
+++ b/internal/consensus/core.go
@@ -21,7 +21,7 @@
 	compacting bool
 	compactAt  int64 // size of the log file, in bytes, at which a compaction starts
 	// membersChanged is set when the membership has changed since the latest snapshot. An added member can't start
-	// from a snapshot that does not list it, so a new one is taken.
+	// from a snapshot that does not list it, so startCompaction creates a new one.
 	membersChanged bool
 }
 
--- a/internal/consensus/core_test.go
+++ b/internal/consensus/core_test.go
@@ -16,7 +16,7 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// recorder is a state machine that keeps all entries.
+// recorder is a state machine that records all applied entries and counts restored snapshots.
 type recorder struct {
 	entries  [][]byte
 	restores int
@@ -50,35 +50,35 @@
 	return nil
 }
 
-// simMember is a member of a simulated quorum, or one that is down.
+// simMember is a member of a simulated quorum.
 type simMember struct {
 	id       uint64
 	dir      string
 	machine  *recorder
-	core     *core // nil while it is down
+	core     *core // nil while the member is crashed
 	isolated bool
 }
 
-// simulation is members in virtual time, and a network that loses, delays and repeats messages.
+// simulation runs members in virtual time over a network that loses, reorders and duplicates messages.
 type simulation struct {
 	t        *testing.T
 	rng      *rand.Rand
 	members  []*simMember
-	first    []uint64
+	initial  []uint64 // ids of the initial members
 	network  []*pb.Message
-	compact  int64
+	compact  int64 // Config.CompactBytes of all members
 	proposed map[string]bool
-	halted   map[uint64]error
+	stopped  map[uint64]error // errors that stopped members, by id
 }
 
 func newSimulation(t *testing.T, seed uint64, members int, compact int64) *simulation {
 	t.Helper()
-	s := &simulation{t: t, rng: rand.New(rand.NewPCG(seed, 7)), compact: compact, proposed: map[string]bool{}, halted: map[uint64]error{}}
+	s := &simulation{t: t, rng: rand.New(rand.NewPCG(seed, 7)), compact: compact, proposed: map[string]bool{}, stopped: map[uint64]error{}}
 	root := t.TempDir()
 	for i := range members {
-		s.first = append(s.first, uint64(i+1))
+		s.initial = append(s.initial, uint64(i+1))
 	}
-	for _, id := range s.first {
+	for _, id := range s.initial {
 		s.members = append(s.members, &simMember{id: id, dir: filepath.Join(root, fmt.Sprint("m", id))})
 		s.start(s.members[len(s.members)-1])
 	}
@@ -95,23 +95,23 @@
 func (s *simulation) start(m *simMember) {
 	m.machine = &recorder{}
 	config := Config{ID: m.id, Dir: m.dir, Machine: m.machine, ElectionTicks: 10, CompactBytes: s.compact}.withDefaults()
-	if slices.Contains(s.first, m.id) {
-		config.InitialMembers = s.first
+	if slices.Contains(s.initial, m.id) {
+		config.InitialMembers = s.initial
 	}
 	c, err := newCore(config)
 	if err != nil {
-		s.t.Fatalf("member %d does not start: %v", m.id, err)
+		s.t.Fatalf("starting member %d: %v", m.id, err)
 	}
 	m.core = c
 }
 
-// crash ends a member without any notice.
+// crash stops a member without a shutdown.
 func (s *simulation) crash(m *simMember) {
 	_ = m.core.disk.close()
 	m.core = nil
 }
 
-// work lets a member do what it has to, and compact. An error ends its part.
+// processReady runs a member's pending work and compacts its log. If that returns an error, the member stops.
 func (s *simulation) processReady(m *simMember) {
 	err := m.core.processReady(func(messages []*pb.Message) {
 		for _, message := range messages {
@@ -133,15 +133,16 @@
 		}
 	}
 	if err != nil {
-		s.halted[m.id] = err
+		s.stopped[m.id] = err
 		s.crash(m)
 	}
 }
 
-// deliver hands over a message, unless one of its ends is isolated or down.
-func (s *simulation) deliver(at int, again bool) {
+// deliver passes a message of the network to its receiver, and keeps it queued as well if duplicate is set. The message
+// is lost if the sender is isolated, or if the receiver is isolated or crashed.
+func (s *simulation) deliver(at int, duplicate bool) {
 	message := s.network[at]
-	if !again {
+	if !duplicate {
 		s.network = slices.Delete(s.network, at, at+1)
 	}
 	from, to := s.member(message.GetFrom()), s.member(message.GetTo())
@@ -152,7 +153,7 @@
 		return
 	}
 	if err := to.core.receive(message); err != nil {
-		s.halted[to.id] = err
+		s.stopped[to.id] = err
 		s.crash(to)
 		return
 	}
@@ -170,10 +171,11 @@
 	return s.members[at]
 }
 
-// simInFlight bounds the messages under way: the oldest are lost.
-const simInFlight = 60
+// maxSimMessages bounds the messages in the network. The oldest are lost.
+const maxSimMessages = 60
 
-// step lets one thing happen.
+// step runs one random event: a delivery, a tick, a proposal, a crash with a restart, a lost message, or a change of
+// isolation.
 func (s *simulation) step() {
 	m := s.members[s.rng.IntN(len(s.members))]
 	switch action := s.rng.IntN(100); {
@@ -203,7 +205,7 @@
 	case action < 99:
 		m.isolated = !m.isolated
 	}
-	s.network = s.network[max(0, len(s.network)-simInFlight):]
+	s.network = s.network[max(0, len(s.network)-maxSimMessages):]
 }
 
 func (s *simulation) propose(m *simMember) {
@@ -214,8 +216,9 @@
 	}
 }
 
-// check reports whether members disagree about what they have applied, or applied what nobody proposed.
-func (s *simulation) check() error {
+// checkConsistency returns an error if members have applied different entries at one position, or an entry that was
+// never proposed.
+func (s *simulation) checkConsistency() error {
 	var longest [][]byte
 	for _, m := range s.members {
 		if len(m.machine.entries) > len(longest) {
@@ -225,21 +228,22 @@
 	for _, m := range s.members {
 		for i, entry := range m.machine.entries {
 			if !bytes.Equal(entry, longest[i]) {
-				return fmt.Errorf("entry %d of member %d is %q, and %q elsewhere", i, m.id, entry, longest[i])
+				return fmt.Errorf("entry %d of member %d: got %q, want %q as on another member", i, m.id, entry, longest[i])
 			}
 			if !s.proposed[string(entry)] {
-				return fmt.Errorf("member %d applied %q, which nobody proposed", m.id, entry)
+				return fmt.Errorf("member %d applied %q, which was never proposed", m.id, entry)
 			}
 		}
 	}
 	return nil
 }
 
-// quiet lets all members run over a network that works until an entry is applied everywhere.
-func (s *simulation) quiet() error {
+// recoverAll restarts crashed members, ends all isolation, and runs until the members have applied the same number of
+// entries.
+func (s *simulation) recoverAll() error {
 	for _, m := range s.members {
 		m.isolated = false
-		if m.core == nil && s.halted[m.id] == nil {
+		if m.core == nil && s.stopped[m.id] == nil {
 			s.start(m)
 		}
 	}
@@ -248,20 +252,20 @@
 		if round%50 == 49 {
 			s.propose(s.members[0])
 		}
-		if round > 100 && s.agreed() {
+		if round > 100 && s.converged() {
 			return nil
 		}
 	}
 	var states []string
 	for _, m := range s.members {
 		if m.core != nil {
-			states = append(states, fmt.Sprintf("%d: %d entries, applied %d, leads %d, voters %v", m.id, len(m.machine.entries), m.core.applied, m.core.raw.BasicStatus().Lead, m.core.confState.GetVoters()))
+			states = append(states, fmt.Sprintf("%d: %d entries, applied %d, leader %d, voters %v", m.id, len(m.machine.entries), m.core.applied, m.core.raw.BasicStatus().Lead, m.core.confState.GetVoters()))
 		}
 	}
-	return fmt.Errorf("the members do not agree in the end: %q, stopped: %v", states, s.halted)
+	return fmt.Errorf("members did not converge in 4000 rounds: %q, stopped: %v", states, s.stopped)
 }
 
-// round ticks all members, and delivers what they say.
+// round ticks all running members and delivers up to 200 messages in order.
 func (s *simulation) round() {
 	for _, m := range s.members {
 		if m.core != nil {
@@ -276,7 +280,7 @@
 	}
 }
 
-// leader is the member that leads, nil for none.
+// leader returns a member that considers itself the leader, or nil.
 func (s *simulation) leader() *simMember {
 	for _, m := range s.members {
 		if m.core != nil && m.core.raw.BasicStatus().Lead == m.id {
@@ -286,8 +290,8 @@
 	return nil
 }
 
-// agreed reports whether all have applied the same, and something.
-func (s *simulation) agreed() bool {
+// converged reports whether all members have applied the same number of entries, at least one.
+func (s *simulation) converged() bool {
 	for _, m := range s.members {
 		if len(m.machine.entries) == 0 || len(m.machine.entries) != len(s.members[0].machine.entries) {
 			return false
@@ -296,70 +300,71 @@
 	return true
 }
 
-// A simulation runs for simMinSteps, and goes on while nothing is applied yet, up to simMaxSteps: the library draws
-// election timeouts from no seed, and a quorum may be isolated for most of the first steps.
+// A simulation runs for at least simMinSteps, and at most simMaxSteps until an entry is applied. The raft library's
+// election timeouts can't be seeded, and a quorum may be isolated for most of the first steps.
 const (
 	simMinSteps = 6000
 	simMaxSteps = 60000
 )
 
-// Members agree on what they apply, whatever is lost, late, repeated, cut off or crashed, with and without snapshots; what
-// one has applied is not lost.
-func TestMembersAgree(t *testing.T) {
+// Members apply the same entries and lose no applied entry while messages are lost, delayed and duplicated, links fail
+// and members crash, with and without snapshots.
+func TestSimulationWithFaultsAppliesSameEntries(t *testing.T) {
 	for _, compact := range []int64{1 << 20, 600} {
 		for seed := range uint64(12) {
 			s := newSimulation(t, seed, 3+int(seed%2)*2, compact)
 			highest := 0
 			for step := 0; step < simMinSteps || highest == 0; step++ {
 				if step == simMaxSteps {
-					t.Fatalf("seed %d, compaction at %d bytes: got no applied entry in %d steps, want some", seed, compact, step)
+					t.Fatalf("seed %d, compaction at %d bytes: got no applied entry in %d steps, want at least one", seed, compact, step)
 				}
 				s.step()
-				if err := s.check(); err != nil {
+				if err := s.checkConsistency(); err != nil {
 					t.Fatalf("seed %d, compaction at %d bytes: %v", seed, compact, err)
 				}
 				for _, m := range s.members {
 					highest = max(highest, len(m.machine.entries))
 				}
 			}
-			if err := s.quiet(); err != nil {
-				t.Fatalf("seed %d, compaction at %d bytes: %v; %v", seed, compact, err, s.halted)
+			if err := s.recoverAll(); err != nil {
+				t.Fatalf("seed %d, compaction at %d bytes: %v; %v", seed, compact, err, s.stopped)
 			}
-			if len(s.halted) > 0 {
-				t.Fatalf("seed %d: members stopped: %v", seed, s.halted)
+			if len(s.stopped) > 0 {
+				t.Fatalf("seed %d: got stopped members %v, want none", seed, s.stopped)
 			}
 			if got := len(s.members[0].machine.entries); got < highest {
-				t.Fatalf("seed %d: %d entries were applied, and %d are left", seed, highest, got)
+				t.Fatalf("seed %d: got %d entries, want at least the %d applied before", seed, got, highest)
 			}
 		}
 	}
 }
 
-// A member whose folder was lost or restored from a backup, and that has acknowledged more than it has, stops with the reason.
-func TestRegressedFolderIsRefused(t *testing.T) {
+// A member whose folder was restored from a backup lacks entries that it has acknowledged. It must stop with
+// ErrRegressed: a leader would count it toward a majority for entries that it lost.
+func TestReceiveWithRegressedFolderReturnsErrRegressed(t *testing.T) {
 	s := newSimulation(t, 1, 3, 1<<20)
-	testMust(t, s.quiet())
-	victim := s.members[0]
-	if victim == s.leader() {
-		victim = s.members[1]
+	testMust(t, s.recoverAll())
+	restored := s.members[0]
+	if restored == s.leader() {
+		restored = s.members[1]
 	}
 	backup := t.TempDir()
-	testMust(t, os.CopyFS(backup, os.DirFS(victim.dir)))
+	testMust(t, os.CopyFS(backup, os.DirFS(restored.dir)))
 	for range 5 {
 		s.propose(s.leader())
 	}
-	testMust(t, s.quiet())
-	s.crash(victim)
-	testMust(t, os.RemoveAll(victim.dir))
-	testMust(t, os.CopyFS(victim.dir, os.DirFS(backup)))
-	s.start(victim)
+	testMust(t, s.recoverAll())
+	s.crash(restored)
+	testMust(t, os.RemoveAll(restored.dir))
+	testMust(t, os.CopyFS(restored.dir, os.DirFS(backup)))
+	s.start(restored)
 	for range 400 {
 		s.round()
 	}
-	if err := s.halted[victim.id]; !errors.Is(err, ErrRegressed) {
+	if err := s.stopped[restored.id]; !errors.Is(err, ErrRegressed) {
 		t.Errorf("got %v, want ErrRegressed", err)
 	}
-	if err := s.check(); err != nil {
+	if err := s.checkConsistency(); err != nil {
 		t.Error(err)
 	}
 }
@@ -371,10 +376,10 @@
 	}
 }
 
-// A frame that a crash cut off at the end is dropped; one that has changed in the middle is refused.
-func TestDamagedLog(t *testing.T) {
+// A frame at the end that a crash has cut off is dropped; a changed byte in the middle of the log is an error.
+func TestOpenDamagedLogDropsCutOffFrameOnly(t *testing.T) {
 	s := newSimulation(t, 2, 1, 1<<20)
-	testMust(t, s.quiet())
+	testMust(t, s.recoverAll())
 	m := s.members[0]
 	for range 4 {
 		s.propose(m)
@@ -388,7 +393,7 @@
 	s.start(m)
 	s.processReady(m)
 	if len(m.machine.entries) != entries {
-		t.Errorf("with a torn end: got %d entries, want %d", len(m.machine.entries), entries)
+		t.Errorf("with a cut-off last frame: got %d entries, want %d", len(m.machine.entries), entries)
 	}
 	s.crash(m)
 	damaged := bytes.Clone(original)
@@ -401,10 +406,10 @@
 	s.start(m)
 }
 
-// A disk that fails ends the part of the member, and what it had acknowledged is there after a restart.
-func TestDiskThatFails(t *testing.T) {
+// A write error stops the member. After a restart it still has the entries that it acknowledged.
+func TestDiskWriteErrorStopsMember(t *testing.T) {
 	s := newSimulation(t, 3, 3, 1<<20)
-	testMust(t, s.quiet())
+	testMust(t, s.recoverAll())
 	m := s.members[1]
 	failing := &failingFile{logFile: m.core.disk.file}
 	m.core.disk.file = failing
@@ -416,53 +421,53 @@
 			}
 		}
 	}
-	if s.halted[2] == nil {
-		t.Fatal("the member runs though its disk fails")
+	if s.stopped[2] == nil {
+		t.Fatal("got a running member after write errors, want a stopped one")
 	}
-	delete(s.halted, 2)
-	testMust(t, s.quiet())
-	if err := s.check(); err != nil {
+	delete(s.stopped, 2)
+	testMust(t, s.recoverAll())
+	if err := s.checkConsistency(); err != nil {
 		t.Error(err)
 	}
 }
 
-// failingFile fails at each write, half of which is on disk.
+// failingFile writes half of the data of each Write and then returns an error.
 type failingFile struct{ logFile }
 
 func (f *failingFile) Write(b []byte) (int, error) {
 	n, _ := f.logFile.Write(b[:len(b)/2])
-	return n, errors.New("no space is left")
+	return n, errors.New("no space left on device")
 }
 
-// A member is added, catches up by a snapshot, and stays when another one is removed.
-func TestMembersChange(t *testing.T) {
+// An added member catches up by a snapshot, and the quorum still commits entries after another member is removed.
+func TestMembershipChangeAddsAndRemovesMember(t *testing.T) {
 	s := newSimulation(t, 4, 3, 400)
-	testMust(t, s.quiet())
+	testMust(t, s.recoverAll())
 	for range 30 {
 		s.propose(s.members[0])
 	}
-	testMust(t, s.quiet())
+	testMust(t, s.recoverAll())
 	added := &simMember{id: 4, dir: filepath.Join(t.TempDir(), "m4")}
 	s.start(added)
 	s.members = append(s.members, added)
-	s.change(pb.ConfChangeAddLearnerNode, 4)
-	s.change(pb.ConfChangeAddNode, 4)
-	testMust(t, s.quiet())
+	s.changeMember(pb.ConfChangeAddLearnerNode, 4)
+	s.changeMember(pb.ConfChangeAddNode, 4)
+	testMust(t, s.recoverAll())
 	if added.machine.restores == 0 {
-		t.Error("the member that was added did not catch up by a snapshot")
+		t.Error("got no restored snapshot on the added member, want one")
 	}
-	s.change(pb.ConfChangeRemoveNode, 1)
+	s.changeMember(pb.ConfChangeRemoveNode, 1)
 	s.crash(s.members[0])
 	s.members = s.members[1:]
 	s.propose(s.members[0])
-	testMust(t, s.quiet())
-	if err := s.check(); err != nil {
+	testMust(t, s.recoverAll())
+	if err := s.checkConsistency(); err != nil {
 		t.Error(err)
 	}
 }
 
-// change proposes to add a member or to take one out, until it is so.
-func (s *simulation) change(kind pb.ConfChangeType, id uint64) {
+// changeMember proposes a membership change until it is applied.
+func (s *simulation) changeMember(kind pb.ConfChangeType, id uint64) {
 	s.t.Helper()
 	text := fmt.Sprint(kind, id)
 	s.proposed[text] = true
@@ -474,15 +479,15 @@
 			s.round()
 		}
 		state := s.members[1].core.confState
-		in := slices.Contains(state.GetVoters(), id)
+		present := slices.Contains(state.GetVoters(), id)
 		if kind == pb.ConfChangeAddLearnerNode {
-			in = slices.Contains(state.GetLearners(), id)
+			present = slices.Contains(state.GetLearners(), id)
 		}
-		if in == (kind != pb.ConfChangeRemoveNode) {
+		if present == (kind != pb.ConfChangeRemoveNode) {
 			return
 		}
 	}
-	s.t.Fatalf("member %d was not changed", id)
+	s.t.Fatalf("%v of member %d was not applied", kind, id)
 }
 
 func FuzzReadLog(f *testing.F) {
--- a/internal/consensus/disk.go
+++ b/internal/consensus/disk.go
@@ -44,10 +44,10 @@
 	empty  bool
 }
 
-// openDisk opens a folder, creates it if it does not exist, and reads its log. It truncates the log after the valid part
-// (see readRecords) and logs nothing about it. A frame that a crash has cut off was never acknowledged. A damaged length
-// loses acknowledged records after it: if committed entries are among them, the member stops with ErrRegressed at the
-// leader's next heartbeat with its commit index.
+// openDisk opens a folder, creates it if it does not exist, and reads its log. It truncates the log after the valid
+// part (see readRecords) and logs nothing about it. A frame that a crash has cut off was never acknowledged. A damaged
+// length loses the acknowledged records after it: if committed entries are among them, the member stops with
+// ErrRegressed when a heartbeat of the leader reports them as committed.
 func openDisk(dir string) (*disk, storedLog, error) {
 	d := &disk{dir: dir, create: createFile}
 	stored := storedLog{memory: raft.NewMemoryStorage(), empty: true}
--- a/internal/consensus/fixture_test.go
+++ b/internal/consensus/fixture_test.go
@@ -19,17 +19,17 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// update writes the fixtures again: go test ./internal/consensus -run Fixture -update. A change of a fixture is a change
-// of what members of other versions read.
-var update = flag.Bool("update", false, "write the fixtures in testdata again")
+// update regenerates the fixtures: go test ./internal/consensus -run Fixture -update. A changed fixture means a changed
+// format, which members of other versions have to read.
+var update = flag.Bool("update", false, "regenerate the fixtures in testdata")
 
 const fixtureDir = "testdata/stored"
 
-// fixtureVoters are the members that the log of the fixture begins with.
+// fixtureVoters lists the initial members of the fixture's log.
 var fixtureVoters = []uint64{1}
 
-// writeFixtureLog runs a single member until its folder has a snapshot, and entries of each kind behind it. The
-// learner that is added does not count for its majority.
+// writeFixtureLog runs a single member until its folder has a snapshot and entries of each kind after it. The added
+// learner does not count toward its majority.
 func writeFixtureLog(t *testing.T, dir string) {
 	t.Helper()
 	machine := &recorder{}
@@ -72,7 +72,7 @@
 	return names
 }
 
-// compareFixtures compares all files of a folder with those of the fixture, byte by byte.
+// compareFixtures compares all files of a folder with the fixture's files, byte by byte.
 func compareFixtures(t *testing.T, dir string) {
 	t.Helper()
 	got, want := fixtureNames(t, dir), fixtureNames(t, fixtureDir)
@@ -90,7 +90,7 @@
 	}
 }
 
-func TestFixtureLogIsWrittenTheSame(t *testing.T) {
+func TestFixtureLogIsWrittenUnchanged(t *testing.T) {
 	dir := t.TempDir()
 	writeFixtureLog(t, dir)
 	if *update {
@@ -113,7 +113,7 @@
 	testMust(t, err)
 	defer func() { testMust(t, d.close()) }()
 	if found.empty {
-		t.Error("got an empty log")
+		t.Error("got an empty log, want the fixture's records")
 	}
 	info, err := os.Stat(filepath.Join(dir, logName))
 	testMust(t, err)
@@ -142,7 +142,7 @@
 	checkFixtureEntries(t, found.memory)
 }
 
-// checkFixtureEntries compares the entries behind the snapshot, field by field.
+// checkFixtureEntries compares the entries after the snapshot, field by field.
 func checkFixtureEntries(t *testing.T, memory *raft.MemoryStorage) {
 	t.Helper()
 	entries, err := memory.Entries(6, 9, raftNoLimit)
@@ -164,8 +164,8 @@
 	}
 }
 
-// A member that is started on the fixture restores its machine from the snapshot and applies what is committed behind it.
-func TestFixtureLogIsResumed(t *testing.T) {
+// A member started on the fixture restores its state machine from the snapshot and applies the committed entries after it.
+func TestFixtureLogIsRestoredAndApplied(t *testing.T) {
 	machine := &recorder{}
 	c, err := newCore(Config{ID: 1, Dir: copyFixture(t), Machine: machine}.withDefaults())
 	testMust(t, err)
@@ -180,8 +180,8 @@
 	testMust(t, c.disk.close())
 }
 
-// The kinds of record in the log file, by the bytes of the fixture.
-func TestFixtureLogRecords(t *testing.T) {
+// The log file contains records of each kind, with the kinds' stored numbers.
+func TestFixtureLogHasRecordsOfEachKind(t *testing.T) {
 	text, err := os.ReadFile(filepath.Join(fixtureDir, "quorum.log"))
 	testMust(t, err)
 	var kinds []byte
@@ -201,7 +201,7 @@
 
 const messagesFixture = "testdata/messages.body"
 
-// fixtureMessages are the texts of messages, as one request carries them.
+// fixtureMessages returns the encoded messages of one request.
 func fixtureMessages(t *testing.T) []Message {
 	t.Helper()
 	kind, from, to, term, index, commit := pb.MsgApp, uint64(1), uint64(2), uint64(3), uint64(4), uint64(5)
@@ -209,8 +209,8 @@
 	message := &pb.Message{Type: &kind, From: &from, To: &to, Term: &term, LogTerm: &term, Index: &index, Commit: &commit, Entries: []*pb.Entry{entry}}
 	text, err := proto.Marshal(message)
 	testMust(t, err)
-	beat := pb.MsgHeartbeat
-	heartbeat, err := proto.Marshal(&pb.Message{Type: &beat, From: &from, To: &to, Term: &term, Commit: &commit})
+	heartbeatKind := pb.MsgHeartbeat
+	heartbeat, err := proto.Marshal(&pb.Message{Type: &heartbeatKind, From: &from, To: &to, Term: &term, Commit: &commit})
 	testMust(t, err)
 	return []Message{{To: 2, Text: text}, {To: 2, Text: heartbeat}}
 }
@@ -227,7 +227,7 @@
 	return &http.Response{StatusCode: http.StatusNoContent, Body: http.NoBody}, err
 }
 
-func TestFixtureMessagesAreSentTheSame(t *testing.T) {
+func TestFixtureMessagesAreSentUnchanged(t *testing.T) {
 	recorder := &requestRecorder{}
 	transport := NewTransport("an-origin", recorder, Config{}.withDefaults().Log)
 	defer transport.Close()
@@ -281,8 +281,8 @@
 			if c.origin != "" {
 				request.Header.Set("X-Quorum-Origin", c.origin)
 			}
-			to, response := &textRecorder{err: c.err}, httptest.NewRecorder()
-			ServeMessages(response, request, "an-origin", to)
+			receiver, response := &textRecorder{err: c.err}, httptest.NewRecorder()
+			ServeMessages(response, request, "an-origin", receiver)
 			if response.Code != c.status {
 				t.Errorf("got the status %d, want %d", response.Code, c.status)
 			}
@@ -292,14 +292,14 @@
 			if c.status != http.StatusNoContent {
 				return
 			}
-			if want := fixtureMessages(t); len(to.texts) != 2 || !bytes.Equal(to.texts[0], want[0].Text) || !bytes.Equal(to.texts[1], want[1].Text) {
-				t.Errorf("got the messages %x, want %x and %x", to.texts, want[0].Text, want[1].Text)
+			if want := fixtureMessages(t); len(receiver.texts) != 2 || !bytes.Equal(receiver.texts[0], want[0].Text) || !bytes.Equal(receiver.texts[1], want[1].Text) {
+				t.Errorf("got the messages %x, want %x and %x", receiver.texts, want[0].Text, want[1].Text)
 			}
 		})
 	}
 }
 
-func TestFixtureOrigin(t *testing.T) {
+func TestFixtureOriginIsUnchanged(t *testing.T) {
 	if got, want := Origin([]uint64{1, 2, 3}, []byte("state")), "8ca42eccff289b2a9773cd14"; got != want {
 		t.Errorf("got %q, want %q", got, want)
 	}
@@ -308,22 +308,22 @@
 	}
 }
 
-// A heartbeat may name as committed what this member has, and no more: the exact index is accepted, the next refused.
-func TestHeartbeatBeyondTheLogIsRefused(t *testing.T) {
+// A heartbeat whose commit index is the last index of the log is accepted; one with the next index is an error.
+func TestReceiveHeartbeatBeyondLogReturnsError(t *testing.T) {
 	for _, beyond := range []uint64{0, 1} {
 		c, err := newCore(Config{ID: 2, Dir: t.TempDir(), InitialMembers: []uint64{1, 2, 3}, InitialState: frame.Append(nil, []byte("initial")), Machine: &recorder{}}.withDefaults())
 		testMust(t, err)
 		kind, from, to, term, commit := pb.MsgHeartbeat, uint64(1), uint64(2), uint64(1), bootstrapIndex+beyond
 		err = c.receive(&pb.Message{Type: &kind, From: &from, To: &to, Term: &term, Commit: &commit})
-		if refused := err != nil; refused != (beyond > 0) {
-			t.Errorf("got %v for a commit %d beyond the log", err, beyond)
+		if rejected := err != nil; rejected != (beyond > 0) {
+			t.Errorf("got error %v for a commit index %d after the last entry", err, beyond)
 		}
 		testMust(t, c.disk.close())
 	}
 }
 
-// A compaction begins at the size of the log file that was set, and not one byte before.
-func TestCompactionBeginsAtItsSize(t *testing.T) {
+// A compaction starts when the log file has the size compactAt, and not at one byte less.
+func TestStartCompactionAtSizeReturnsCompaction(t *testing.T) {
 	c, err := newCore(Config{ID: 1, Dir: t.TempDir(), InitialMembers: []uint64{1}, InitialState: frame.Append(nil, []byte("initial")), Machine: &recorder{}}.withDefaults())
 	testMust(t, err)
 	defer func() { testMust(t, c.disk.close()) }()
@@ -331,19 +331,19 @@
 	testMust(t, c.processReady(func([]*pb.Message) {}))
 	c.compactAt = c.disk.size + 1
 	if c.startCompaction() != nil {
-		t.Error("got a compaction one byte early")
+		t.Error("got a compaction one byte below compactAt, want none")
 	}
 	c.compactAt = c.disk.size
 	if c.startCompaction() == nil {
-		t.Error("got no compaction at its size")
+		t.Error("got no compaction at compactAt, want one")
 	}
 	if c.startCompaction() != nil {
-		t.Error("got a second compaction beside the first")
+		t.Error("got a second compaction while one is in progress, want none")
 	}
 }
 
-// A log may end in a frame that is damaged, as after a crash; the same frame with a byte behind it is damage.
-func TestDamagedLastFrameIsDropped(t *testing.T) {
+// A damaged last frame may result from a crash and is dropped. The same frame with a byte after it is an error.
+func TestOpenDiskDropsDamagedLastFrame(t *testing.T) {
 	dir := copyFixture(t)
 	path := filepath.Join(dir, "quorum.log")
 	complete, err := os.ReadFile(path)
@@ -352,7 +352,7 @@
 	text[len(text)-1] ^= 1
 	testMust(t, os.WriteFile(path, append(text, 0), 0o600))
 	if _, _, err := openDisk(dir); !errors.Is(err, ErrDamaged) {
-		t.Errorf("with a byte behind the frame: got %v, want ErrDamaged", err)
+		t.Errorf("with a byte after the frame: got %v, want ErrDamaged", err)
 	}
 	testMust(t, os.WriteFile(path, text, 0o600))
 	d, _, err := openDisk(dir)
@@ -363,13 +363,14 @@
 	}
 }
 
-// An entry may replace those from its index on, or follow the last one; it may leave no gap, nor replace the snapshot.
-func TestEntriesFollowEachOther(t *testing.T) {
+// An entry may replace the entries from its index on, or follow the last one. One that leaves a gap or replaces the
+// snapshot is an error.
+func TestOpenDiskRejectsEntryOutOfSequence(t *testing.T) {
 	for _, test := range []struct {
 		name  string
 		index uint64
 		valid bool
-	}{{"of the snapshot", 5, false}, {"the first one", 6, true}, {"the last one", 8, true}, {"the next one", 9, true}, {"after a gap", 10, false}} {
+	}{{"index of the snapshot", 5, false}, {"first entry", 6, true}, {"last entry", 8, true}, {"next entry", 9, true}, {"after a gap", 10, false}} {
 		t.Run(test.name, func(t *testing.T) {
 			dir := copyFixture(t)
 			path := filepath.Join(dir, "quorum.log")
--- a/internal/consensus/node_test.go
+++ b/internal/consensus/node_test.go
@@ -22,7 +22,7 @@
 
 const testTimeout = 15 * time.Second
 
-// lockedRecorder is a state machine that a test looks at while it runs.
+// lockedRecorder is a recorder that a test may read while the member runs.
 type lockedRecorder struct {
 	mu sync.Mutex
 	recorder
@@ -58,59 +58,59 @@
 	return false
 }
 
-// testNode is a member that runs, and listens.
+// testNode is a running member.
 type testNode struct {
 	*Node
 	machine   *lockedRecorder
 	transport *Transport
 	cancel    context.CancelFunc
-	ended     chan error
+	ended     chan error // result of Run
 }
 
-// testQuorum is members on loopback.
+// testQuorum is a set of members that communicate over loopback HTTP.
 type testQuorum struct {
 	t         *testing.T
 	dir       string
-	first     []uint64
+	initial   []uint64 // ids of the initial members
 	addresses map[uint64]string
-	handlers  map[uint64]*swappable
+	handlers  map[uint64]*memberHandler
 	nodes     map[uint64]*testNode
 }
 
-// swappable is a handler that is set later.
-type swappable struct {
-	mu sync.Mutex
-	to Receiver
+// memberHandler serves messages for a receiver that can be replaced; it responds with 503 without one.
+type memberHandler struct {
+	mu       sync.Mutex
+	receiver Receiver
 }
 
-func (s *swappable) set(to Receiver) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.to = to
+func (h *memberHandler) set(receiver Receiver) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.receiver = receiver
 }
 
-func (s *swappable) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	s.mu.Lock()
-	to := s.to
-	s.mu.Unlock()
-	if to == nil {
+func (h *memberHandler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	h.mu.Lock()
+	receiver := h.receiver
+	h.mu.Unlock()
+	if receiver == nil {
 		http.Error(w, "down", http.StatusServiceUnavailable)
 		return
 	}
-	ServeMessages(w, r, "one", to)
+	ServeMessages(w, r, "one", receiver)
 }
 
 func newTestQuorum(t *testing.T, members int) *testQuorum {
 	t.Helper()
-	q := &testQuorum{t: t, dir: t.TempDir(), addresses: map[uint64]string{}, handlers: map[uint64]*swappable{}, nodes: map[uint64]*testNode{}}
+	q := &testQuorum{t: t, dir: t.TempDir(), addresses: map[uint64]string{}, handlers: map[uint64]*memberHandler{}, nodes: map[uint64]*testNode{}}
 	for id := uint64(1); id <= uint64(members); id++ {
-		q.first = append(q.first, id)
-		q.handlers[id] = &swappable{}
+		q.initial = append(q.initial, id)
+		q.handlers[id] = &memberHandler{}
 		server := httptest.NewServer(q.handlers[id])
 		t.Cleanup(server.Close)
 		q.addresses[id] = server.Listener.Addr().String()
 	}
-	for _, id := range q.first {
+	for _, id := range q.initial {
 		q.start(id)
 	}
 	t.Cleanup(func() {
@@ -127,7 +127,7 @@
 	n.transport.SetMembers(q.addresses)
 	var err error
 	n.Node, err = Open(Config{
-		ID: id, Dir: filepath.Join(q.dir, fmt.Sprint(id)), InitialMembers: q.first, Machine: n.machine, Tick: 5 * time.Millisecond,
+		ID: id, Dir: filepath.Join(q.dir, fmt.Sprint(id)), InitialMembers: q.initial, Machine: n.machine, Tick: 5 * time.Millisecond,
 		CompactBytes: 4 << 10,
 	}, n.transport)
 	testMust(q.t, err)
@@ -149,13 +149,13 @@
 	delete(q.nodes, id)
 }
 
-// propose proposes an entry until all members that run have applied it.
+// propose proposes an entry until all running members have applied it.
 func (q *testQuorum) propose(entry string) {
 	q.t.Helper()
 	deadline := time.Now().Add(testTimeout)
 	for time.Now().Before(deadline) {
 		for _, n := range q.nodes {
-			_ = n.Propose([]byte(entry)) // again, where it was dropped
+			_ = n.Propose([]byte(entry)) // a dropped proposal is repeated
 			break
 		}
 		for range 10 {
@@ -165,7 +165,7 @@
 			time.Sleep(10 * time.Millisecond)
 		}
 	}
-	q.t.Fatalf("%q was not applied everywhere within %v", entry, testTimeout)
+	q.t.Fatalf("%q was not applied by all running members within %v", entry, testTimeout)
 }
 
 func (q *testQuorum) allHave(entry string) bool {
@@ -177,7 +177,7 @@
 	return true
 }
 
-// leader waits for a member that leads.
+// leader waits until a member is the leader, and returns its id.
 func (q *testQuorum) leader() uint64 {
 	q.t.Helper()
 	for deadline := time.Now().Add(testTimeout); time.Now().Before(deadline); time.Sleep(5 * time.Millisecond) {
@@ -187,12 +187,13 @@
 			}
 		}
 	}
-	q.t.Fatal("there is no leader")
+	q.t.Fatal("got no leader, want one")
 	return 0
 }
 
-// Members over HTTP agree, go on without a leader that stopped, and one that comes back catches up by a snapshot.
-func TestMembersOverHTTP(t *testing.T) {
+// Members that communicate over HTTP still commit entries after the leader has stopped, and it catches up by a
+// snapshot after its restart.
+func TestQuorumOverHTTPSurvivesLeaderRestart(t *testing.T) {
 	q := newTestQuorum(t, 3)
 	q.propose("first")
 	stopped := q.leader()
@@ -203,31 +204,31 @@
 	q.start(stopped)
 	q.propose("last")
 	if !q.nodes[stopped].machine.has("first") || !q.nodes[stopped].machine.has(fmt.Sprintf("%0300d", 7)) {
-		t.Error("the member that came back lacks entries")
+		t.Error("got missing entries on the restarted member, want none")
 	}
 	if size := q.nodes[q.leader()].Status().LogSize; size > 64<<10 {
 		t.Errorf("got a log of %d bytes, want a compacted one", size)
 	}
 }
 
-// Without a majority nothing is agreed.
-func TestMinorityAgreesOnNothing(t *testing.T) {
+// A member without a majority commits nothing.
+func TestProposeWithoutMajorityIsNotCommitted(t *testing.T) {
 	q := newTestQuorum(t, 3)
 	q.propose("first")
 	q.stop(1)
 	q.stop(2)
 	left := q.nodes[3]
 	_ = left.Propose([]byte("alone"))
-	time.Sleep(500 * time.Millisecond) // some elections
+	time.Sleep(500 * time.Millisecond) // time for several elections
 	if left.machine.has("alone") {
-		t.Error("a minority committed an entry")
+		t.Error("got an entry committed by a minority, want none")
 	}
 	q.start(1)
 	q.propose("together")
 }
 
-// What is no message of a member is refused, or ends its part; it never ends the process.
-func TestGarbage(t *testing.T) {
+// A member rejects malformed bodies, ignores a message for another member, and still commits entries afterwards.
+func TestMalformedMessagesAreRejected(t *testing.T) {
 	q := newTestQuorum(t, 1)
 	q.propose("first")
 	for _, body := range [][]byte{[]byte("x"), frame.Append(nil, []byte{0xff, 0xff})} {
@@ -235,7 +236,7 @@
 		testMust(t, err)
 		testMust(t, response.Body.Close())
 		if response.StatusCode == http.StatusNoContent {
-			t.Errorf("got no error for %q", body)
+			t.Errorf("got status 204 for the body %q, want an error", body)
 		}
 	}
 	other := uint64(9)
@@ -250,8 +251,8 @@
 	http.DefaultClient.CloseIdleConnections()
 }
 
-// Members that began with different logs take nothing of each other.
-func TestOrigin(t *testing.T) {
+// A member rejects messages from a member whose log began differently.
+func TestServeMessagesWithOtherOriginRespondsConflict(t *testing.T) {
 	q := newTestQuorum(t, 1)
 	q.propose("first")
 	for origin, want := range map[string]int{"": http.StatusNoContent, "one": http.StatusNoContent, "other": http.StatusConflict} {
@@ -271,8 +272,8 @@
 	http.DefaultClient.CloseIdleConnections()
 }
 
-// A member that has stopped returns ErrStopped.
-func TestStopped(t *testing.T) {
+// A stopped member returns ErrStopped, and can be started again.
+func TestStoppedNodeReturnsErrStopped(t *testing.T) {
 	q := newTestQuorum(t, 1)
 	q.propose("first")
 	n := q.nodes[1]
@@ -287,7 +288,7 @@
 	q.propose("second")
 }
 
-// FuzzReceive hands a member what is no message of any other: it may stop, and does not panic.
+// FuzzReceive passes malformed messages to a member, which may stop but must not panic.
 func FuzzReceive(f *testing.F) {
 	kind, to, from, term := pb.MsgApp, uint64(1), uint64(2), uint64(9)
 	text, err := proto.Marshal(&pb.Message{Type: &kind, To: &to, From: &from, Term: &term})
@@ -296,13 +297,13 @@
 	}
 	f.Add(text)
 	f.Fuzz(func(t *testing.T, text []byte) {
-		n, err := Open(Config{ID: 1, Dir: t.TempDir(), InitialMembers: []uint64{1, 2, 3}, Machine: &recorder{}}, silent{})
+		n, err := Open(Config{ID: 1, Dir: t.TempDir(), InitialMembers: []uint64{1, 2, 3}, Machine: &recorder{}}, discardSender{})
 		testMust(t, err)
 		ctx, cancel := context.WithCancel(context.Background())
 		ended := make(chan struct{})
 		go func() {
 			defer close(ended)
-			_ = n.Run(ctx) // the message may end its part
+			_ = n.Run(ctx) // the message may stop the member
 		}()
 		_ = n.Receive(text)
 		done := make(chan struct{})
@@ -317,8 +318,8 @@
 	})
 }
 
-// silent carries nothing.
-type silent struct{}
+// discardSender drops all messages.
+type discardSender struct{}
 
-func (silent) Send(Message) {}
-func (silent) Close()       {}
+func (discardSender) Send(Message) {}
+func (discardSender) Close()       {}
