--- a/internal/config/assignment.go
+++ b/internal/config/assignment.go
@@ -15,25 +15,25 @@
 	maxOwnersKeptFor    = 10 * time.Minute
 )
 
-// defaultAssignmentState is the state file of a node that names none.
+// defaultAssignmentState is the default of Assignment.State.
 const defaultAssignmentState = "assignment.state"
 
-// Assignment is the section about the control processes that assign destinations to this node. Without it every node
-// accepts messages for all destinations.
+// Assignment is the section with the control processes that assign destinations to this node. Without the section, the
+// node accepts messages for all destinations.
 type Assignment struct {
-	// Control are the HOST:PORT of the region's control process, or of those that may take over from it.
+	// Control lists the HOST:PORT of the region's control process, or of the processes that may take over from it.
 	Control []string `toml:"control"`
-	// State is the file that persists the lease of the node for a restart.
+	// State is the file that persists the node's lease across restarts.
 	State string `toml:"state"`
 	// RegionShare is the fraction of each destination's rate limit that this region may use.
 	RegionShare float64 `toml:"region_share"`
-	// OwnersKeptFor is how long owners of other destinations are cached, and OwnersMax of how many destinations.
+	// OwnersKeptFor is the time for which owners of other destinations are cached, and OwnersMax the maximum number of
+	// cached destinations.
 	OwnersKeptFor Duration `toml:"owners_kept_for"`
 	OwnersMax     int      `toml:"owners_max"`
-	// Destinations is where the node gets endpoints and rate limits from: destinationsFromFile or
-	// destinationsFromControl.
+	// Destinations is the source of endpoints and rate limits: destinationsFromFile or destinationsFromControl.
 	Destinations string `toml:"destinations"`
-	// Buildings are the availability zones that endpoints may be in, with destinationsFromControl.
+	// Buildings lists the availability zones in which endpoints may be, with destinationsFromControl.
 	Buildings []string `toml:"buildings"`
 }
 
@@ -48,7 +48,7 @@
 	return a != nil && a.Destinations == destinationsFromControl
 }
 
-// setDefaults sets what the section leaves out. A nil section stays off.
+// setDefaults sets the defaults of unset settings. A nil section stays off.
 func (a *Assignment) setDefaults() {
 	if a == nil {
 		return
@@ -60,7 +60,7 @@
 	a.Destinations = cmp.Or(a.Destinations, destinationsFromFile)
 }
 
-// check checks the section of a file.
+// check reports the errors of the section.
 func (a *Assignment) check(f *File, c *checker) {
 	if a == nil {
 		return
@@ -69,7 +69,7 @@
 		c.report("assignment.control", "is missing")
 	}
 	if len(a.Control) > maxControlAddresses {
-		c.report("assignment.control", "there are %d, %d at most", len(a.Control), maxControlAddresses)
+		c.report("assignment.control", "got %d addresses, want at most %d", len(a.Control), maxControlAddresses)
 	}
 	for i, address := range a.Control {
 		c.address(fmt.Sprintf("assignment.control[%d]", i), address)
@@ -85,37 +85,37 @@
 	}
 	a.checkDistribution(f, c)
 	if len(f.Name) > lease.MaxNameLength {
-		c.report("name", "it has %d bytes, %d at most with [assignment]", len(f.Name), lease.MaxNameLength)
+		c.report("name", "got %d bytes, want at most %d with [assignment]", len(f.Name), lease.MaxNameLength)
 	}
 	if f.Store.Kind == "postgres" {
-		c.report("store.kind", "nodes with [assignment] have a store of their own: \"sqlite\" or \"journal\"")
+		c.report("store.kind", "must be \"sqlite\" or \"journal\" with [assignment]: each node needs its own store")
 	}
 	if f.Limits.Nodes != 1 {
-		c.report("limits.nodes", "%d: with [assignment] each node is told its own share of a rate", f.Limits.Nodes)
+		c.report("limits.nodes", "got %d, want 1 with [assignment]: each node receives its own share of a rate", f.Limits.Nodes)
 	}
 }
 
-// checkDistribution checks where destinations come from.
+// checkDistribution reports errors of Destinations and Buildings.
 func (a *Assignment) checkDistribution(f *File, c *checker) {
 	switch a.Destinations {
 	case destinationsFromFile:
 		if len(a.Buildings) > 0 {
-			c.report("assignment.buildings", "only with destinations = %q", destinationsFromControl)
+			c.report("assignment.buildings", "only allowed with destinations = %q", destinationsFromControl)
 		}
 	case destinationsFromControl:
 		if len(f.Destinations) > 0 {
-			c.report("destination", "there are %d, and assignment.destinations says that they come from the control process", len(f.Destinations))
+			c.report("destination", "got %d, want none with assignment.destinations = %q", len(f.Destinations), destinationsFromControl)
 		}
 		if len(a.Buildings) == 0 {
 			c.report("assignment.buildings", "is missing")
 		}
 	default:
-		c.report("assignment.destinations", "%q is neither %q nor %q", a.Destinations, destinationsFromFile, destinationsFromControl)
+		c.report("assignment.destinations", "got %q, want %q or %q", a.Destinations, destinationsFromFile, destinationsFromControl)
 	}
 	seen := map[string]bool{}
 	for i, building := range a.Buildings {
 		if building == "" || seen[building] {
-			c.report(fmt.Sprintf("assignment.buildings[%d]", i), "%q is empty, or there twice", building)
+			c.report(fmt.Sprintf("assignment.buildings[%d]", i), "%q is empty or a duplicate", building)
 		}
 		seen[building] = true
 	}
--- a/internal/config/assignment_test.go
+++ b/internal/config/assignment_test.go
@@ -9,8 +9,8 @@
 	"wingmount/policy"
 )
 
-// The file of a node with [assignment], up to the settings of that section.
-const assigned = `name = "n"
+// assignmentHead is the file of a node with [assignment], up to the settings of that section.
+const assignmentHead = `name = "n"
 listen = "127.0.0.1:0"
 [store]
 kind = "sqlite"
@@ -18,7 +18,7 @@
 [assignment]
 `
 
-const assignedRest = `
+const assignmentTail = `
 [[class]]
 name = "c"
 repeat = "idempotent"
@@ -33,8 +33,8 @@
 building = "b"
 `
 
-func TestAssignment(t *testing.T) {
-	f, err := Parse([]byte(assigned + `control = ["127.0.0.1:1", "127.0.0.1:2"]` + assignedRest))
+func TestParseAssignmentSetsDefaults(t *testing.T) {
+	f, err := Parse([]byte(assignmentHead + `control = ["127.0.0.1:1", "127.0.0.1:2"]` + assignmentTail))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -48,9 +48,9 @@
 	}
 }
 
-// Assignment is off without its section.
-func TestNoAssignment(t *testing.T) {
-	f, err := Parse([]byte(strings.Replace(assigned, "[assignment]\n", "", 1) + assignedRest))
+// Assignment is disabled without its section.
+func TestParseWithoutAssignmentReturnsNil(t *testing.T) {
+	f, err := Parse([]byte(strings.Replace(assignmentHead, "[assignment]\n", "", 1) + assignmentTail))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -59,37 +59,37 @@
 	}
 }
 
-func TestInvalidAssignment(t *testing.T) {
+func TestParseInvalidAssignmentReportsErrors(t *testing.T) {
 	for lines, want := range map[string]string{
 		"":                       "assignment.control: is missing",
 		`control = []`:           "assignment.control: is missing",
-		`control = ["nowhere"]`:  `assignment.control[0]: "nowhere" is no HOST:PORT`,
+		`control = ["nowhere"]`:  `assignment.control[0]: "nowhere" is not HOST:PORT`,
 		`region_share = 1.5`:     "assignment.region_share: 1.5 is not above 0 and up to 1",
 		`region_share = -0.5`:    "assignment.region_share: -0.5 is not above 0 and up to 1",
 		`owners_kept_for = "1h"`: "assignment.owners_kept_for",
 		`owners_max = -1`:        "assignment.owners_max: -1 is not between 1 and 1048576",
-		`destinations = "moon"`:  `assignment.destinations: "moon" is neither "file" nor "control"`,
-		`buildings = ["b"]`:      `assignment.buildings: only with destinations = "control"`,
-		"destinations = \"control\"\nbuildings = [\"b\"]":        "destination: there are 1, and assignment.destinations says",
+		`destinations = "moon"`:  `assignment.destinations: got "moon", want "file" or "control"`,
+		`buildings = ["b"]`:      `assignment.buildings: only allowed with destinations = "control"`,
+		"destinations = \"control\"\nbuildings = [\"b\"]":        `destination: got 1, want none with assignment.destinations = "control"`,
 		"destinations = \"control\"":                             "assignment.buildings: is missing",
-		"destinations = \"control\"\nbuildings = [\"b\", \"b\"]": `assignment.buildings[1]: "b" is empty, or there twice`,
+		"destinations = \"control\"\nbuildings = [\"b\", \"b\"]": `assignment.buildings[1]: "b" is empty or a duplicate`,
 		`region = "north"`:                                       "line 7, column 1: unknown key assignment.region",
-		"control = [\"h:1\"]\n[limits]\nnodes = 2":               "limits.nodes: 2: with [assignment]",
+		"control = [\"h:1\"]\n[limits]\nnodes = 2":               "limits.nodes: got 2, want 1 with [assignment]",
 	} {
-		if _, err := Parse([]byte(assigned + lines + assignedRest)); err == nil || !strings.Contains(err.Error(), want) {
+		if _, err := Parse([]byte(assignmentHead + lines + assignmentTail)); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%q: got error %v, want %q", lines, err, want)
 		}
 	}
-	shared := strings.Replace(assigned, "kind = \"sqlite\"\npath = \"db\"", "kind = \"postgres\"\nurl = \"postgres://u:p@h:1/d\"", 1)
-	if _, err := Parse([]byte(shared + `control = ["h:1"]` + assignedRest)); err == nil || !strings.Contains(err.Error(), "store of their own") {
+	shared := strings.Replace(assignmentHead, "kind = \"sqlite\"\npath = \"db\"", "kind = \"postgres\"\nurl = \"postgres://u:p@h:1/d\"", 1)
+	if _, err := Parse([]byte(shared + `control = ["h:1"]` + assignmentTail)); err == nil || !strings.Contains(err.Error(), "needs its own store") {
 		t.Errorf("got error %v for nodes that share a database, want one", err)
 	}
 }
 
-// A node whose destinations come from the control process has settings for any kind of them, in its zones.
-func TestDistributedDestinations(t *testing.T) {
-	rest, _, _ := strings.Cut(assignedRest, "[[destination]]")
-	f, err := Parse([]byte(assigned + "control = [\"h:1\"]\ndestinations = \"control\"\nbuildings = [\"b\", \"annex\"]\n" + rest))
+// A node whose destinations come from the control process has settings for all kinds of destinations, and its zones.
+func TestSettingsWithDistributedDestinationsHaveAllKinds(t *testing.T) {
+	rest, _, _ := strings.Cut(assignmentTail, "[[destination]]")
+	f, err := Parse([]byte(assignmentHead + "control = [\"h:1\"]\ndestinations = \"control\"\nbuildings = [\"b\", \"annex\"]\n" + rest))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -97,8 +97,8 @@
 	if len(settings.Kinds) != 2*clusterspec.MaxBundle || settings.RateAccuracy != policy.RateRough || len(settings.ZoneFee) != 2 {
 		t.Errorf("got %d kinds, rate accuracy %v, %d zones, want all kinds, rough, 2", len(settings.Kinds), settings.RateAccuracy, len(settings.ZoneFee))
 	}
-	record := clusterspec.DestinationConfig{RoutesApart: true, Bundle: 7}
-	kind := settings.Kinds[numbers.Kinds[record.Kind()]]
+	config := clusterspec.DestinationConfig{RoutesApart: true, Bundle: 7}
+	kind := settings.Kinds[numbers.Kinds[config.Kind()]]
 	if !kind.SeparateRoutes || kind.MaxBatch != 7 || numbers.Zones["annex"] != 1 {
 		t.Errorf("got kind %+v and zones %v, want separate routes, batches of 7, annex as 1", kind, numbers.Zones)
 	}
@@ -107,7 +107,7 @@
 	}
 }
 
-func TestControl(t *testing.T) {
+func TestParseControlSetsDefaultsAndReportsErrors(t *testing.T) {
 	c, err := ParseControl([]byte("listen = \"127.0.0.1:7950\"\nworld = \"w\"\nstate = \"s\""))
 	if err != nil {
 		t.Fatal(err)
@@ -120,7 +120,7 @@
 		t.Errorf("got %+v, want the defaults %+v", *c, want)
 	}
 	for text, want := range map[string]string{
-		"":                      "listen: \"\" is no HOST:PORT\nworld: is missing\nstate: is missing",
+		"":                      "listen: \"\" is not HOST:PORT\nworld: is missing\nstate: is missing",
 		`lease = "10ms"`:        "lease: 10ms is not between 1s and 1h0m0s",
 		`max_drift = 0.9`:       "max_drift: 0.9 is not above 0 and up to 0.5",
 		`max_sessions = -3`:     "max_sessions: -3 is not between 1 and 65536",
@@ -138,8 +138,8 @@
 	}
 }
 
-// The deployed files are valid, and document each key.
-func TestDeployedAssignment(t *testing.T) {
+// The files in deploy are valid, and document each key.
+func TestDeployedAssignmentIsValidAndDocumentsKeys(t *testing.T) {
 	text, err := os.ReadFile("../../deploy/assignment.toml")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,11 +1,11 @@
-// Package config reads the TOML files of nodes, of control processes, and of rules. It maps their keys, which are a
-// stable interface for operators, to the settings of the other packages.
+// Package config reads the TOML files of nodes, control processes and rules. Their keys are a stable interface for
+// operators. The package maps them to the settings of other packages.
 //
-// The package is strict: an unknown key is an error, and a file is checked completely before anything starts. An error
-// has all errors of a file, each with its place. Fields keep the names of their keys where they only exist in a file.
+// An unknown key is an error, and a file is validated completely before anything starts. The returned error joins all
+// errors of a file, each with its position or key. A field that exists only in a file has the name of its key.
 //
-// It has no state; its functions are safe for concurrent use. A loaded file is not changed any more. Start reading at
-// [Load] and [File.Settings] for nodes, and at [LoadControl] for control processes.
+// The package has no state. Its functions are safe for concurrent use. A loaded file is never modified. Start reading
+// at [Load] and [File.Settings] for nodes, and at [LoadControl] for control processes.
 package config
 
 import (
@@ -15,20 +15,20 @@
 	"time"
 )
 
-// Duration is a duration in Go's form, such as "250ms" or "12s".
+// Duration is a duration in the format of time.ParseDuration, such as "250ms" or "12s".
 type Duration time.Duration
 
 // UnmarshalText implements [encoding.TextUnmarshaler].
 func (d *Duration) UnmarshalText(text []byte) error {
 	duration, err := time.ParseDuration(string(text))
 	if err != nil {
-		return fmt.Errorf("%q is no duration such as \"250ms\" or \"12s\"", text)
+		return fmt.Errorf("%q is not a duration such as \"250ms\" or \"12s\"", text)
 	}
 	*d = Duration(duration)
 	return nil
 }
 
-// File is the file of a node. deploy/gateway.toml has each key with a comment.
+// File is the file of a node. deploy/gateway.toml documents each key.
 type File struct {
 	Name         string        `toml:"name"`
 	Listen       string        `toml:"listen"`
@@ -43,50 +43,51 @@
 	Destinations []Destination `toml:"destination"`
 }
 
-// Store is the section about the store of messages.
+// Store is the section with the settings of the message store.
 type Store struct {
 	Kind       string   `toml:"kind"`  // "sqlite", "postgres" or "journal"
 	URL        string   `toml:"url"`   // postgres
 	Lease      Duration `toml:"lease"` // postgres
 	Path       string   `toml:"path"`
 	Durability string   `toml:"durability"` // "power" or "process"
-	MaxMB      int64    `toml:"max_mb"`     // sqlite, journal: MiB; messages are rejected before it is full
-	Keep       Duration `toml:"keep"`       // sqlite, postgres: how long an id that is resent gets its final response again
-	Check      *bool    `toml:"check"`      // sqlite: read all pages at the start, and refuse a damaged file
+	MaxMB      int64    `toml:"max_mb"`     // sqlite, journal: maximum size in MiB; messages are rejected before the store is full
+	Keep       Duration `toml:"keep"`       // sqlite, postgres: time for which a message sent again with its id gets its final response
+	Check      *bool    `toml:"check"`      // sqlite: read all pages at startup, and fail if the file is damaged
 }
 
-// Answers is the section about notifications of results.
+// Answers is the section with the settings of notifications of results.
 type Answers struct {
 	URL string `toml:"url"`
 }
 
-// Rules is the section about the rules for keys and classes. There are none if File is empty.
+// Rules is the section with the files of the rules for keys and classes. Without File, there are no rules.
 type Rules struct {
 	File string `toml:"file"` // see ParseRules
-	// Record is the file that persists the active rules; empty means File with ".active".
+	// Record is the file that persists the active rules. The default is File with the suffix ".active".
 	Record string `toml:"record"`
 }
 
-// Limits is the section about the capacity of a node.
+// Limits is the section with the capacity limits of a node.
 type Limits struct {
-	MaxInFlight int `toml:"held"`      // messages accepted without a final response
-	Slots       int `toml:"slots"`     // calls in progress at once
-	Attempts    int `toml:"attempts"`  // for one message
-	Nodes       int `toml:"nodes"`     // that share the rates of the destinations
-	Sockets     int `toml:"sockets"`   // file descriptors of this process
+	MaxInFlight int `toml:"held"`      // accepted messages without a final response
+	Slots       int `toml:"slots"`     // concurrent calls
+	Attempts    int `toml:"attempts"`  // maximum number of attempts for one message
+	Nodes       int `toml:"nodes"`     // number of nodes that share the destinations' rates
+	Sockets     int `toml:"sockets"`   // maximum number of file descriptors of this process
 	MemoryMB    int `toml:"memory_mb"` // soft limit in MiB; 0 means none
-	// Admission rejects messages that could not be delivered in time; nil means on.
+	// Admission enables the rejection of messages that could not be delivered in time; nil means enabled.
 	Admission *bool `toml:"admission"`
 }
 
-// Partners is the section about how partner systems drain, and how they recover after an outage.
+// Partners is the section with the settings for draining endpoints, and for their recovery after an outage.
 type Partners struct {
-	Drain Duration `toml:"drain"` // in which calls to a draining endpoint should end: none begins in its last quarter
-	// InitialCapacity is the fraction of its rate that a recovering endpoint gets at first, and WarmUp the time until
-	// it gets all of it.
+	// Drain is the time in which calls to a draining endpoint should end. No call begins in its last quarter.
+	Drain Duration `toml:"drain"`
+	// InitialCapacity is the initial fraction of its rate that a recovering endpoint gets, and WarmUp the time until it
+	// gets the full rate.
 	InitialCapacity float64  `toml:"cold_share"`
 	WarmUp          Duration `toml:"warm_up"`
-	// An endpoint is overloaded by more than FallsAt times its present capacity for FallsIn.
+	// An endpoint is overloaded by more than FallsAt times its current capacity for FallsIn.
 	FallsAt float64  `toml:"falls_at"`
 	FallsIn Duration `toml:"falls_in"`
 }
@@ -100,10 +101,10 @@
 	Wanted    Duration `toml:"wanted"` // soft deadline
 	Deadline  Duration `toml:"deadline"`
 	Value     *float64 `toml:"worth"`      // priority weight; nil means 1
-	LateValue float64  `toml:"late_worth"` // fraction of Value that is left at the deadline
+	LateValue float64  `toml:"late_worth"` // fraction of Value that remains at the deadline
 	Ordered   bool     `toml:"ordered"`
-	// Rest is how long a key of an ordered class waits after an attempt that may still run. The longest Rest of all
-	// classes counts for each of them: see File.Settings.
+	// Rest is the time for which a key of an ordered class waits after an attempt that may still be in progress. The
+	// longest Rest of all classes applies to each of them: see File.Settings.
 	Rest Duration `toml:"rest"`
 }
 
@@ -111,13 +112,13 @@
 type Destination struct {
 	Number      int        `toml:"number"`
 	Name        string     `toml:"name"`
-	Rate        float64    `toml:"rate"`         // calls a second from all nodes; 0 if not known
+	Rate        float64    `toml:"rate"`         // calls a second from all nodes; 0 if unknown
 	RoutesApart bool       `toml:"routes_apart"` // each endpoint has its own rate limit, pace and outages
-	Bundle      int        `toml:"bundle"`       // messages in one call at most
+	Bundle      int        `toml:"bundle"`       // maximum number of messages in one call
 	Endpoints   []Endpoint `toml:"endpoint"`
 }
 
-// Endpoint is one address of a destination.
+// Endpoint is one server of a destination.
 type Endpoint struct {
 	Name     string `toml:"name"`
 	Address  string `toml:"address"`
@@ -125,7 +126,7 @@
 	Drains   bool   `toml:"drains"`
 }
 
-// Load reads and checks the file of a node. Paths in it are relative to the file.
+// Load reads and checks the file of a node. It resolves relative paths in it against the file's folder.
 func Load(path string) (*File, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -141,21 +142,21 @@
 	}
 	for _, p := range paths {
 		if *p != "" {
-			*p = relativeTo(path, *p)
+			*p = resolvePath(path, *p)
 		}
 	}
 	return f, nil
 }
 
-// relativeTo returns a path that is given in a file, relative to that file's folder.
-func relativeTo(file, path string) string {
+// resolvePath resolves a relative path in a file against that file's folder.
+func resolvePath(file, path string) string {
 	if filepath.IsAbs(path) {
 		return path
 	}
 	return filepath.Join(filepath.Dir(file), path)
 }
 
-// Parse decodes the text of a node's file, sets the defaults, and checks it. The error has all errors of the file.
+// Parse decodes the text of a node's file, sets the defaults, and checks it. The error joins all errors of the file.
 func Parse(text []byte) (*File, error) {
 	f := &File{}
 	if err := decode(text, f); err != nil {
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -9,6 +9,7 @@
 	"wingmount/policy"
 )
 
+// deployedGateway returns the text of deploy/gateway.toml.
 func deployedGateway(t *testing.T) string {
 	t.Helper()
 	text, err := os.ReadFile("../../deploy/gateway.toml")
@@ -18,7 +19,7 @@
 	return string(text)
 }
 
-func TestDeployedGateway(t *testing.T) {
+func TestLoadDeployedGatewayReturnsItsSettings(t *testing.T) {
 	f, err := Load("../../deploy/gateway.toml")
 	if err != nil {
 		t.Fatal(err)
@@ -40,8 +41,8 @@
 	}
 }
 
-// The file decides how partners drain and recover; without the section the defaults apply.
-func TestPartners(t *testing.T) {
+// The section [partners] sets how endpoints drain and recover. Without the section, the defaults apply.
+func TestSettingsHavePartnersOrDefaults(t *testing.T) {
 	for _, c := range []struct {
 		section string
 		want    policy.Settings
@@ -65,22 +66,22 @@
 	}
 }
 
-func TestInvalidFile(t *testing.T) {
+func TestParseInvalidFileReportsErrors(t *testing.T) {
 	for name, c := range map[string]struct{ old, new, want string }{
 		"unknown key":    {"keep =", "keeps =", "line 14, column 1: unknown key store.keeps"},
-		"form":           {"max_mb = 1024", "max_mb = ", "line 13"},
+		"syntax":         {"max_mb = 1024", "max_mb = ", "line 13"},
 		"type":           {"max_mb = 1024", `max_mb = "much"`, "line 13"},
-		"duration":       {`"12s"`, `"12"`, "no duration"},
-		"kind":           {`kind = "sqlite"`, `kind = "paper"`, `store.kind: "paper" is none of`},
+		"duration":       {`"12s"`, `"12"`, "not a duration"},
+		"kind":           {`kind = "sqlite"`, `kind = "paper"`, `store.kind: got "paper", want one of`},
 		"no url":         {`kind = "sqlite"`, `kind = "postgres"`, "store.url"},
-		"url of sqlite":  {`kind = "sqlite"`, "kind = \"sqlite\"\nurl = \"postgres://a:b@c/d\"", "only postgres"},
+		"url of sqlite":  {`kind = "sqlite"`, "kind = \"sqlite\"\nurl = \"postgres://a:b@c/d\"", "only allowed with store.kind = \"postgres\""},
 		"short lease":    {`kind = "sqlite"`, "kind = \"postgres\"\nurl = \"postgres://a:b@c/d\"\nlease = \"10ms\"", "store.lease"},
 		"journal":        {`kind = "sqlite"`, `kind = "journal"`, "store.durability"},
-		"class twice":    {"[[destination]]", "[[class]]\nname=\"meter-message\"\nrepeat=\"unsafe\"\nwanted=\"1s\"\ndeadline=\"2s\"\n[[destination]]", "there are two"},
+		"class twice":    {"[[destination]]", "[[class]]\nname=\"meter-message\"\nrepeat=\"unsafe\"\nwanted=\"1s\"\ndeadline=\"2s\"\n[[destination]]", "name: is used by another class"},
 		"window":         {`repeat = "keyed"`, `repeat = "unsafe"`, "window"},
-		"wanted":         {`wanted = "3s"`, `wanted = "30s"`, "the shorter"},
+		"wanted":         {`wanted = "3s"`, `wanted = "30s"`, "wanted at most deadline"},
 		"attempts":       {"attempts = 6", "attempts = 7", "limits.attempts: 7 is not between 1 and 6"},
-		"same name":      {`"billing-2"`, `"billing-1"`, "has the same"},
+		"same name":      {`"billing-2"`, `"billing-1"`, "has the same name"},
 		"address":        {`"127.0.0.1:9102"`, `"nowhere"`, `"billing-2").address`},
 		"no building":    {`building = "annex"`, `building = ""`, "building"},
 		"answers":        {`"http://127.0.0.1:9000/answers"`, `"ftp://x"`, "answers.url"},
@@ -92,7 +93,7 @@
 		"falls at":       {"falls_at = 2.0", "falls_at = 1.0", "partners.falls_at: 1 is not above 1"},
 		"falls in":       {`falls_in = "1500ms"`, `falls_in = "2m"`, "partners.falls_in"},
 		"rules' record":  {"[answers]", "[rules]\nrecord = \"x\"\n[answers]", "rules.file: is missing"},
-		"no record":      {"[answers]", "[rules]\nfile = \"x\"\nrecord = \"x\"\n[answers]", "rules.record: it is the file itself"},
+		"no record":      {"[answers]", "[rules]\nfile = \"x\"\nrecord = \"x\"\n[answers]", "rules.record: must differ from rules.file"},
 		"no destination": {"[[destination]]", "[[destinations]]", "unknown key"},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -109,8 +110,9 @@
 	}
 }
 
-// The deployed rule file is valid, the record is beside it, and an error has its place.
-func TestRules(t *testing.T) {
+// The rule file in deploy is valid, the default record file has its name with a suffix, and errors have their
+// position.
+func TestLoadRulesReturnsSetOrErrorWithPosition(t *testing.T) {
 	f, err := Parse([]byte(strings.Replace(deployedGateway(t), "[answers]", "[rules]\nfile = \"rules.toml\"\n[answers]", 1)))
 	if err != nil {
 		t.Fatal(err)
@@ -135,28 +137,28 @@
 			t.Errorf("%s: got error %v, want %q in it", c.new, err, c.want)
 		}
 	}
-	big := t.TempDir() + "/big"
-	if err := os.WriteFile(big, make([]byte, MaxRulesFile+1), 0o600); err != nil {
+	tooLong := t.TempDir() + "/rules"
+	if err := os.WriteFile(tooLong, make([]byte, MaxRulesFile+1), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if _, _, err := LoadRules(big, classes); err == nil || !strings.Contains(err.Error(), "more than") {
+	if _, _, err := LoadRules(tooLong, classes); err == nil || !strings.Contains(err.Error(), "more than") {
 		t.Errorf("got error %v for a file that is too long, want its limit", err)
 	}
 }
 
-// Persisted numbers keep their meaning in whichever order a later file names classes and zones; a class that the file
-// does not name any more keeps its number and is not used.
-func TestPersistedNumbers(t *testing.T) {
+// Persisted numbers of classes and zones do not depend on the order in the current file. A class that the file no longer
+// contains keeps its number and is not used.
+func TestSettingsKeepPersistedNumbers(t *testing.T) {
 	f, err := Load("../../deploy/gateway.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
 	class := f.ClassNames()[0]
-	s, w := f.Settings([]string{"gone", class}, append([]string{"burnt down"}, f.ZoneNames()...))
+	s, w := f.Settings([]string{"removed", class}, append([]string{"removed"}, f.ZoneNames()...))
 	if len(s.Classes) != 2 || w.Classes[class] != 1 || s.Classes[1].Deadline != time.Duration(f.Classes[0].Deadline) {
 		t.Errorf("got classes %+v and numbers %v, want the class of the file as number 1", s.Classes, w.Classes)
 	}
-	if _, ok := w.Classes["gone"]; ok || s.Classes[0].Repeat != policy.AtMostOnce {
+	if _, ok := w.Classes["removed"]; ok || s.Classes[0].Repeat != policy.AtMostOnce {
 		t.Errorf("got %+v for a class that the file lacks, want it unused", s.Classes[0])
 	}
 	for i, z := range f.ZoneNames() {
--- a/internal/config/control.go
+++ b/internal/config/control.go
@@ -20,11 +20,11 @@
 	maxControlDelay    = time.Hour
 )
 
-// Control is the file of a control process. deploy/assignment.toml has each key with a comment.
+// Control is the file of a control process. deploy/assignment.toml documents each key.
 type Control struct {
 	Listen      string   `toml:"listen"`
-	SpecFile    string   `toml:"world"` // the cluster spec: nodes and destinations
-	State       string   `toml:"state"` // folder
+	SpecFile    string   `toml:"world"` // file of the cluster spec: nodes and destinations
+	State       string   `toml:"state"` // folder of the persisted state
 	Lease       Duration `toml:"lease"`
 	MaxDrift    float64  `toml:"max_drift"`
 	Slack       Duration `toml:"slack"`
@@ -38,7 +38,8 @@
 	Quorum       *Quorum  `toml:"quorum"` // nil for a single control process
 }
 
-// LoadControl reads and checks the file of a control process. Paths in it are relative to the file.
+// LoadControl reads and checks the file of a control process. It resolves relative paths in it against the file's
+// folder.
 func LoadControl(path string) (*Control, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -49,13 +50,13 @@
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
 	for _, p := range []*string{&c.SpecFile, &c.State} {
-		*p = relativeTo(path, *p)
+		*p = resolvePath(path, *p)
 	}
 	return c, nil
 }
 
-// ParseControl decodes the text of the file of a control process, sets the defaults, and checks it. The error has all
-// errors of the file.
+// ParseControl decodes the text of the file of a control process, sets the defaults, and checks it. The error joins
+// all errors of the file.
 func ParseControl(text []byte) (*Control, error) {
 	c := &Control{}
 	if err := decode(text, c); err != nil {
--- a/internal/config/decode.go
+++ b/internal/config/decode.go
@@ -8,7 +8,7 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// decode reads TOML into a struct. An unknown key is an error.
+// decode decodes TOML into a struct. An unknown key is an error.
 func decode(text []byte, into any) error {
 	decoder := toml.NewDecoder(strings.NewReader(string(text)))
 	decoder.DisallowUnknownFields()
@@ -18,7 +18,7 @@
 	return nil
 }
 
-// addPosition adds the line and the column to an error of the decoder.
+// addPosition adds lines and columns to decoder errors.
 func addPosition(err error) error {
 	var strict *toml.StrictMissingError
 	if errors.As(err, &strict) {
@@ -37,14 +37,14 @@
 	return err
 }
 
-// typeError is an error of the decoder with the names of struct fields that operators know.
+// typeError is a decoder error. Its text has the reported names of struct fields: see reportedFields.
 type typeError struct{ err error }
 
 func (e typeError) Error() string { return reportedFields.Replace(e.err.Error()) }
 func (e typeError) Unwrap() error { return e.err }
 
-// reportedFields replaces the names of struct fields in errors of the decoder. Operators see these texts, so they stay
-// as they were before the fields were renamed.
+// reportedFields replaces the names of struct fields in decoder errors. Operators see these texts, so renaming the fields
+// must not change them.
 var reportedFields = strings.NewReplacer(
 	"struct field config.Limits.MaxInFlight of", "struct field config.Limits.Held of",
 	"struct field config.Partners.InitialCapacity of", "struct field config.Partners.ColdShare of",
--- a/internal/config/decode_test.go
+++ b/internal/config/decode_test.go
@@ -6,8 +6,8 @@
 	"wingmount/decide/rules"
 )
 
-// Operators see the names of struct fields in errors of the decoder; these stay when a field is renamed.
-func TestTypeErrorsKeepFieldNames(t *testing.T) {
+// Operators see the names of struct fields in decoder errors. The reported names stay when a field is renamed.
+func TestDecodeTypeErrorHasReportedFieldNames(t *testing.T) {
 	for name, c := range map[string]struct {
 		text, want string
 		into       any
@@ -23,7 +23,7 @@
 		t.Run(name, func(t *testing.T) {
 			err := decode([]byte(c.text), c.into)
 			if err == nil || !strings.HasSuffix(err.Error(), c.want) {
-				t.Errorf("got error %v, want %q at its end", err, c.want)
+				t.Errorf("got error %v, want the suffix %q", err, c.want)
 			}
 		})
 	}
--- a/internal/config/defaults.go
+++ b/internal/config/defaults.go
@@ -22,12 +22,12 @@
 	defaultStoreLease      = Duration(10 * time.Second)
 	defaultStoreMB         = 1024
 	defaultGossipState     = "gossip.state"
-	defaultRecordSuffix    = ".active" // after the name of the rule file
+	defaultRecordSuffix    = ".active" // appended to the name of the rule file
 	defaultBundle          = 1
 	defaultClassValue      = 1.0
 )
 
-// setDefaults sets what the file leaves out.
+// setDefaults sets the defaults of unset settings.
 func (f *File) setDefaults() {
 	f.Limits.setDefaults()
 	f.Partners.setDefaults()
--- a/internal/config/gossip.go
+++ b/internal/config/gossip.go
@@ -20,18 +20,18 @@
 	maxGossipDatagrams = 1000
 )
 
-// MaxPeers is the highest number of peers in a file.
+// MaxPeers is the maximum number of peers in a file.
 const MaxPeers = 1024
 
-// Gossip is the section about the nodes that share evidence about partners. Gossip is off if Listen is empty.
+// Gossip is the section with the nodes that share evidence about partners. Gossip is disabled if Listen is empty.
 type Gossip struct {
 	Listen   string `toml:"listen"`
 	Cluster  string `toml:"cluster"`
 	Building string `toml:"building"` // availability zone of this node
 	Key      string `toml:"key"`      // file of the private key
 	State    string `toml:"state"`    // file of the persisted state; empty means gossip.state
-	// Datagrams is the highest rate at which the node sends, in datagrams a second; 0 means 16. From the known address of
-	// a peer three times as many are verified.
+	// Datagrams is the maximum send rate of the node in datagrams a second; 0 means 16. The node verifies up to three
+	// times as many from the known address of a peer.
 	Datagrams int    `toml:"datagrams"`
 	Peers     []Peer `toml:"peer"`
 }
@@ -40,10 +40,10 @@
 type Peer struct {
 	Name    string   `toml:"name"`
 	Address string   `toml:"address"`
-	Keys    []string `toml:"keys"` // public, in base64
+	Keys    []string `toml:"keys"` // public keys in base64
 }
 
-// check checks the section. own is the name of the node.
+// check reports the errors of the section. own is the name of the node.
 func (g *Gossip) check(own string, c *checker) {
 	if g.Listen == "" {
 		if g.hasSettings() {
@@ -57,12 +57,12 @@
 	c.required("gossip.key", g.Key)
 	c.within("gossip.datagrams", g.Datagrams, minGossipDatagrams, maxGossipDatagrams)
 	if len(g.Peers) > MaxPeers {
-		c.report("gossip.peer", "there are %d, %d at most", len(g.Peers), MaxPeers)
+		c.report("gossip.peer", "got %d peers, want at most %d", len(g.Peers), MaxPeers)
 	}
 	g.checkPeers(own, c)
 }
 
-// hasSettings reports whether the section has any setting beside listen.
+// hasSettings reports whether the section has any setting except listen.
 func (g *Gossip) hasSettings() bool {
 	return g.Cluster != "" || g.Building != "" || g.Key != "" || g.State != "" || g.Datagrams != 0 || len(g.Peers) > 0
 }
@@ -76,7 +76,7 @@
 		id := gossip.PeerID(peer.Name)
 		isOwn := peer.Name == own
 		if other, exists := names[id]; exists && (!isOwn || ownSeen) {
-			c.report(where+".name", "%q has the same name, or the same number", other)
+			c.report(where+".name", "%q has the same name or the same number", other)
 		}
 		names[id] = peer.Name
 		ownSeen = ownSeen || isOwn
@@ -87,13 +87,13 @@
 		peer.checkKeys(where, c)
 	}
 	if !hasSeed && len(g.Peers) > 0 {
-		c.report("gossip.peer", "none has an address: nobody would find another")
+		c.report("gossip.peer", "no other peer has an address, so this node could not contact any")
 	}
 }
 
 func (p *Peer) checkKeys(where string, c *checker) {
 	if len(p.Keys) == 0 {
-		c.report(where+".keys", "there is none")
+		c.report(where+".keys", "is missing")
 	}
 	for i, key := range p.Keys {
 		if _, err := parsePublicKey(key); err != nil {
@@ -102,7 +102,7 @@
 	}
 }
 
-var errPublicKey = errors.New("it is no Ed25519 public key in base64, as 'wingmount peers key' prints it")
+var errPublicKey = errors.New("must be an Ed25519 public key in base64, as printed by 'wingmount peers key'")
 
 func parsePublicKey(text string) (ed25519.PublicKey, error) {
 	key, err := base64.StdEncoding.DecodeString(text)
@@ -119,7 +119,7 @@
 		peer := gossip.Peer{Name: p.Name, Address: p.Address}
 		for _, text := range p.Keys {
 			key, err := parsePublicKey(text)
-			if err == nil { // check has reported an error
+			if err == nil { // File.check has reported the error
 				peer.Keys = append(peer.Keys, key)
 			}
 		}
@@ -137,7 +137,7 @@
 	}
 	block, _ := pem.Decode(text)
 	if block == nil {
-		return nil, fmt.Errorf("gossip.key: %s is no PEM file", f.Gossip.Key)
+		return nil, fmt.Errorf("gossip.key: %s is not a PEM file", f.Gossip.Key)
 	}
 	parsed, err := x509.ParsePKCS8PrivateKey(block.Bytes)
 	if err != nil {
@@ -145,15 +145,15 @@
 	}
 	key, ok := parsed.(ed25519.PrivateKey)
 	if !ok {
-		return nil, fmt.Errorf("gossip.key: %s is no Ed25519 key", f.Gossip.Key)
+		return nil, fmt.Errorf("gossip.key: %s is not an Ed25519 key", f.Gossip.Key)
 	}
 	if !f.allowsGossipKey(key) {
-		return nil, fmt.Errorf("gossip.key: the public key of %s is none of those that gossip.peer %q lists", f.Gossip.Key, f.Name)
+		return nil, fmt.Errorf("gossip.key: gossip.peer %q does not list the public key of %s", f.Name, f.Gossip.Key)
 	}
 	return key, nil
 }
 
-// allowsGossipKey reports whether the node is not among the peers, or is with this key.
+// allowsGossipKey reports whether the node is not among the peers, or is one of them with this key.
 func (f *File) allowsGossipKey(key ed25519.PrivateKey) bool {
 	for _, p := range f.GossipPeers() {
 		if p.Name == f.Name {
@@ -163,23 +163,23 @@
 	return true
 }
 
-// NewGossipKey writes a new private key to a new file, PKCS #8 in PEM (RFC 5958, RFC 8410), and returns its public
-// key in base64.
+// NewGossipKey generates a private key, writes it to a new file as PKCS #8 in PEM (RFC 5958, RFC 8410), and returns the
+// public key in base64.
 func NewGossipKey(path string) (string, error) {
 	public, private, err := ed25519.GenerateKey(rand.Reader)
 	if err != nil {
-		return "", fmt.Errorf("making a key: %w", err)
+		return "", fmt.Errorf("generating a key: %w", err)
 	}
 	der, err := x509.MarshalPKCS8PrivateKey(private)
 	if err != nil {
-		return "", fmt.Errorf("making a key: %w", err)
+		return "", fmt.Errorf("generating a key: %w", err)
 	}
 	file, err := os.OpenFile(path, os.O_CREATE|os.O_EXCL|os.O_WRONLY, 0o600)
 	if err != nil {
-		return "", fmt.Errorf("making a key: %w", err)
+		return "", fmt.Errorf("generating a key: %w", err)
 	}
 	if err := errors.Join(pem.Encode(file, &pem.Block{Type: "PRIVATE KEY", Bytes: der}), file.Sync(), file.Close()); err != nil {
-		return "", fmt.Errorf("making a key: %w", err)
+		return "", fmt.Errorf("generating a key: %w", err)
 	}
 	return base64.StdEncoding.EncodeToString(public), nil
 }
--- a/internal/config/gossip_test.go
+++ b/internal/config/gossip_test.go
@@ -8,13 +8,13 @@
 	"wingmount/internal/testkit"
 )
 
-// Each error of the section gossip is reported with its place.
-func TestGossip(t *testing.T) {
+// A valid section [gossip] gives key, state file and peers. Each error of the section is reported with its setting.
+func TestLoadGossipReturnsPeersOrErrors(t *testing.T) {
 	dir := t.TempDir()
 	public, err := NewGossipKey(filepath.Join(dir, "a.key"))
 	testkit.Must(t, err)
 	if _, err := NewGossipKey(filepath.Join(dir, "a.key")); err == nil {
-		t.Error("got a key written over another, want an error")
+		t.Error("got no error for a key file that exists, want one")
 	}
 	other, err := NewGossipKey(filepath.Join(dir, "b.key"))
 	testkit.Must(t, err)
@@ -39,8 +39,8 @@
 		{"[gossip]\nlisten = \"127.0.0.1:1\"\n", "gossip.key: is missing"},
 		{head + "datagrams = 3\n", "gossip.datagrams: 3 is not between 4 and 1000"},
 		{head + "speed = 3\n", "unknown key gossip.speed"},
-		{head + peer("b", "nowhere", other), "\"nowhere\" is no HOST:PORT"},
-		{head + peer("b", "", other), "none has an address"},
+		{head + peer("b", "nowhere", other), "\"nowhere\" is not HOST:PORT"},
+		{head + peer("b", "", other), "no other peer has an address"},
 		{head + peer("b", "127.0.0.1:1", "abc"), "gossip.peer 1 (\"b\").keys[0]"},
 		{head + peer("b", "127.0.0.1:1", other) + peer("b", "127.0.0.1:1", other), "has the same name"},
 		{head + peer("gateway-1", "127.0.0.1:1", public) + peer("gateway-1", "127.0.0.1:1", public), "has the same name"},
@@ -52,17 +52,17 @@
 	}
 	f, err = load(head + peer("gateway-1", "127.0.0.1:1", other) + peer("b", "127.0.0.1:2", public))
 	testkit.Must(t, err)
-	if _, err := f.GossipKey(); err == nil || !strings.Contains(err.Error(), "none of those") {
-		t.Errorf("got error %v for a key that no peer has, want one", err)
+	if _, err := f.GossipKey(); err == nil || !strings.Contains(err.Error(), "does not list the public key") {
+		t.Errorf("got error %v for a key that the node's own peer does not list, want one", err)
 	}
 	f.Gossip.Key = filepath.Join(dir, "gateway.toml")
-	if _, err := f.GossipKey(); err == nil || !strings.Contains(err.Error(), "no PEM") {
-		t.Errorf("got error %v for a file that is no key, want one", err)
+	if _, err := f.GossipKey(); err == nil || !strings.Contains(err.Error(), "not a PEM file") {
+		t.Errorf("got error %v for a file that is not a key, want one", err)
 	}
 }
 
-// The deployed example is valid and gets the defaults.
-func TestGossipExample(t *testing.T) {
+// The example in deploy is valid and gets the defaults.
+func TestLoadDeployedGossipSetsDefaults(t *testing.T) {
 	f, err := Load("../../deploy/gossip.toml")
 	testkit.Must(t, err)
 	if len(f.GossipPeers()) != 2 || f.Gossip.Datagrams != 16 {
--- a/internal/config/quorum.go
+++ b/internal/config/quorum.go
@@ -20,22 +20,22 @@
 	maxElectionTicks = 1000
 )
 
-// Quorum is the section of a control machine that is a member of a quorum. Without it there is a single control process.
+// Quorum is the section of a control machine that is a member of a quorum. Without it, there is a single control process.
 type Quorum struct {
-	ID     uint64 `toml:"id"`     // of this machine
-	Region string `toml:"region"` // of this machine
+	ID     uint64 `toml:"id"`     // id of this machine
+	Region string `toml:"region"` // region of this machine
 	// Length is the duration of the lease of a region's leader.
 	Length Duration `toml:"length"`
-	// Tick is the unit of the consensus timers. Members elect a leader after ElectionTicks without one.
+	// Tick is the unit of the consensus timers. Members start an election after ElectionTicks without a leader.
 	Tick          Duration `toml:"tick"`
 	ElectionTicks int      `toml:"election_ticks"`
-	// Above is the highest incarnation of an earlier single control process of these nodes.
+	// Above is the highest incarnation of the single control process that controlled these nodes before the quorum.
 	Above uint32 `toml:"above"`
-	// Members are the initial ones; the file of a machine that is added later has the present ones.
+	// Members lists the initial members. The file of a machine that is added later lists the current members.
 	Members []QuorumMember `toml:"member"`
 }
 
-// QuorumMember is a control machine.
+// QuorumMember is one control machine of a quorum.
 type QuorumMember struct {
 	ID      uint64 `toml:"id"`
 	Region  string `toml:"region"`
@@ -43,7 +43,7 @@
 	Via     string `toml:"via"`     // HOST:PORT at which this machine reaches the member, if not Address
 }
 
-// setDefaults sets what the section leaves out. A nil section stays off.
+// setDefaults sets the defaults of unset settings. A nil section stays off.
 func (q *Quorum) setDefaults() {
 	if q == nil {
 		return
@@ -53,7 +53,7 @@
 	q.ElectionTicks = cmp.Or(q.ElectionTicks, consensus.DefaultElectionTicks)
 }
 
-// check checks the section of a control process's file.
+// check reports the errors of the section.
 func (q *Quorum) check(control *Control, c *checker) {
 	if q == nil {
 		return
@@ -66,7 +66,7 @@
 	}
 	longest := maxLeaderLease(control)
 	if q.Length < Duration(minQuorumLength) || q.Length > Duration(longest) {
-		c.report("quorum.length", "%v is not between %v and %v: another machine has to take over before leases of %v end",
+		c.report("quorum.length", "%v is not between %v and %v: another machine must be able to take over before leases of %v end",
 			time.Duration(q.Length), minQuorumLength, longest, time.Duration(control.Lease))
 	}
 	if q.Tick < Duration(minQuorumTick) || q.Tick > Duration(maxQuorumTick) {
@@ -83,13 +83,13 @@
 
 func (q *Quorum) checkMembers(c *checker) {
 	if len(q.Members) == 0 || len(q.Members) > maxQuorumMembers {
-		c.report("quorum.member", "there are %d, 1 to %d are allowed", len(q.Members), maxQuorumMembers)
+		c.report("quorum.member", "got %d members, want 1 to %d", len(q.Members), maxQuorumMembers)
 	}
 	seen := map[uint64]bool{}
 	for i, m := range q.Members {
 		where := fmt.Sprintf("quorum.member %d (id %d)", i+1, m.ID)
 		if m.ID == 0 || seen[m.ID] {
-			c.report(where+".id", "is 0, or there twice")
+			c.report(where+".id", "is 0 or a duplicate")
 		}
 		seen[m.ID] = true
 		if m.Region == "" {
@@ -100,17 +100,17 @@
 			c.address(where+".via", m.Via)
 		}
 		if m.ID == q.ID && m.Region != q.Region {
-			c.report(where+".region", "%q, and quorum.region is %q", m.Region, q.Region)
+			c.report(where+".region", "got %q, want %q as in quorum.region", m.Region, q.Region)
 		}
 	}
 }
 
-// maxLeaderLease returns the longest lease of a region's leader with the file's settings.
+// maxLeaderLease returns the maximum lease duration of a region's leader with the file's settings.
 func maxLeaderLease(c *Control) time.Duration {
 	return control.MaxLeaderLease(time.Duration(c.Lease), c.MaxDrift, time.Duration(c.Slack))
 }
 
-// MemberConfig returns the configuration of a member of a quorum. It panics if the file has no section [quorum].
+// MemberConfig returns the configuration of a quorum member. It panics if the file has no section [quorum].
 func (c *Control) MemberConfig(server control.ServerConfig) control.MemberConfig {
 	q := c.Quorum
 	config := control.MemberConfig{
--- a/internal/config/quorum_test.go
+++ b/internal/config/quorum_test.go
@@ -28,7 +28,7 @@
 address = "h2:1"
 `
 
-func TestQuorum(t *testing.T) {
+func TestParseControlWithQuorumReturnsMemberConfig(t *testing.T) {
 	c, err := ParseControl([]byte(quorumFile + quorumSection))
 	if err != nil {
 		t.Fatal(err)
@@ -46,14 +46,14 @@
 	}
 }
 
-func TestInvalidQuorum(t *testing.T) {
+func TestParseInvalidQuorumReportsErrors(t *testing.T) {
 	for old, c := range map[string]struct{ with, want string }{
 		"id = 2\nregion = \"south\"\nabove":   {"above", "quorum.id: is missing"},
 		"above = 17":                          {"above = 17000000", "quorum.above: 17000000 is more than"},
-		"id = 2\nregion = \"south\"\naddress": {"id = 1\nregion = \"south\"\naddress", "quorum.member 2 (id 1).id: is 0, or there twice"},
-		"\"h1:1\"":                            {"\"h1\"", "quorum.member 1 (id 1).address: \"h1\" is no HOST:PORT"},
-		"\"127.0.0.1:9\"":                     {"\"nowhere\"", "quorum.member 1 (id 1).via: \"nowhere\" is no HOST:PORT"},
-		"[quorum]":                            {"[quorum]\nlength = \"3m\"", "quorum.length: 3m0s is not between 1s and 2m53.0025s: another machine has to take over before leases of 3m0s end"},
+		"id = 2\nregion = \"south\"\naddress": {"id = 1\nregion = \"south\"\naddress", "quorum.member 2 (id 1).id: is 0 or a duplicate"},
+		"\"h1:1\"":                            {"\"h1\"", "quorum.member 1 (id 1).address: \"h1\" is not HOST:PORT"},
+		"\"127.0.0.1:9\"":                     {"\"nowhere\"", "quorum.member 1 (id 1).via: \"nowhere\" is not HOST:PORT"},
+		"[quorum]":                            {"[quorum]\nlength = \"3m\"", "quorum.length: 3m0s is not between 1s and 2m53.0025s: another machine must be able to take over before leases of 3m0s end"},
 		"[quorum]\n":                          {"[quorum]\ntick = \"1us\"\n", "quorum.tick: 1µs is not between"},
 		"[quorum]\nid":                        {"[quorum]\nelection_ticks = 3\nid", "quorum.election_ticks: 3 is not between"},
 		"[[quorum.member]]\nid = 1":           {"[[quorum.member]]\nname = \"x\"\nid = 1", "unknown key quorum.member.name"},
@@ -65,8 +65,8 @@
 	}
 }
 
-// The deployed file is valid, and documents each key.
-func TestDeployedQuorum(t *testing.T) {
+// The file in deploy is valid, documents each key, and leaves a majority without any one region.
+func TestDeployedQuorumIsValidAndDocumentsKeys(t *testing.T) {
 	text, err := os.ReadFile("../../deploy/quorum.toml")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/config/rules.go
+++ b/internal/config/rules.go
@@ -9,7 +9,7 @@
 	"wingmount/policy"
 )
 
-// MaxRulesFile is the longest rule file, in bytes.
+// MaxRulesFile is the maximum size of a rule file in bytes.
 const MaxRulesFile = 1 << 20
 
 // ReadRules reads the text of a rule file.
@@ -29,7 +29,7 @@
 	return string(text), nil
 }
 
-// ParseRules compiles the text of a rule file. A text without rules gives a set that leaves each message unchanged.
+// ParseRules compiles the text of a rule file. The set of a text without rules leaves each message unchanged.
 func ParseRules(text string, classes []rules.Class) (*rules.Set, error) {
 	var spec rules.Spec
 	if err := decode([]byte(text), &spec); err != nil {
@@ -38,7 +38,7 @@
 	return rules.Compile(spec, classes)
 }
 
-// LoadRules returns the rule set of a file and its text. Errors name the file.
+// LoadRules reads and compiles a rule file, and returns the rule set and the file's text. Errors name the file.
 func LoadRules(path string, classes []rules.Class) (*rules.Set, string, error) {
 	text, err := ReadRules(path)
 	if err != nil {
@@ -55,7 +55,7 @@
 	return set, text, nil
 }
 
-// RuleClasses returns the classes of the file as rules need them.
+// RuleClasses returns the classes of the file as inputs of the compilation of rules.
 func (f *File) RuleClasses() []rules.Class {
 	settings, numbers := f.Settings(f.ClassNames(), f.ZoneNames())
 	var classes []rules.Class
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -9,18 +9,18 @@
 )
 
 const (
-	// minAttemptTimeout is the shortest timeout of an attempt. A timeout from the latency of a partner on the local
+	// minAttemptTimeout is the minimum timeout of an attempt. A timeout derived from the latency of a partner on the local
 	// network would be shorter than a pause of either machine.
 	minAttemptTimeout = 500 * time.Millisecond
 	// connectTimeout is the timeout of connecting to an endpoint.
 	connectTimeout = time.Second
-	// maxRetryAfter is the longest time after which a rejected message is advised to be submitted again.
+	// maxRetryAfter is the maximum delay after which a client is advised to submit a rejected message again.
 	maxRetryAfter = 30 * time.Second
 	// tick is the resolution of the policy's timers.
 	tick = time.Millisecond
 )
 
-// Numbers are the numbers that the policy uses for names of classes, kinds of destinations and zones.
+// Numbers maps the names of classes, kinds of destinations and zones to the numbers that the policy uses for them.
 type Numbers struct{ Classes, Kinds, Zones map[string]int }
 
 // ClassNames returns the names of the classes, in the order of the file.
@@ -48,9 +48,9 @@
 	return names
 }
 
-// Settings returns the policy's settings. classes and zones are the persisted names by their numbers, those of the
-// file among them. A persisted class that the file lacks keeps its number and is not used. KeyCooldown is one for all
-// classes: the longest Class.Rest.
+// Settings returns the policy's settings. classes and zones list the persisted names by their numbers, and must contain
+// all names of the file. A persisted class that the file lacks keeps its number and is not used. KeyCooldown applies to
+// all classes and is the longest Class.Rest.
 func (f *File) Settings(classes, zones []string) (policy.Settings, Numbers) {
 	settings := f.baseSettings()
 	numbers := Numbers{Classes: map[string]int{}, Kinds: map[string]int{}, Zones: map[string]int{}}
@@ -81,7 +81,7 @@
 	return settings, numbers
 }
 
-// baseSettings returns the settings beside classes, kinds and zones.
+// baseSettings returns the settings except classes, kinds and zones.
 func (f *File) baseSettings() policy.Settings {
 	return policy.Settings{
 		Senders:          f.Limits.Nodes,
@@ -101,8 +101,8 @@
 	}
 }
 
-// repeats are the policy's terms for the values of Class.Repeat.
-var repeats = map[string]policy.Repeat{
+// repeatModes maps the values of Class.Repeat to the policy's terms.
+var repeatModes = map[string]policy.Repeat{
 	repeatIdempotent: policy.Idempotent,
 	repeatKeyed:      policy.Deduplicated,
 	repeatUnsafe:     policy.AtMostOnce,
@@ -112,7 +112,7 @@
 func (class *Class) settings() policy.Class {
 	keyed := class.Repeat == repeatKeyed
 	return policy.Class{
-		Repeat:       repeats[class.Repeat],
+		Repeat:       repeatModes[class.Repeat],
 		GroupAll:     keyed && class.Group == groupDestination,
 		GroupZone:    keyed && class.Group == groupBuilding,
 		DedupWindow:  time.Duration(class.Window),
@@ -124,8 +124,8 @@
 	}
 }
 
-// destinationKinds returns the kinds of the file's destinations, and every kind if the control process assigns
-// destinations. A kind may be there more than once.
+// destinationKinds returns the kinds of the file's destinations, or all kinds if destinations come from the control
+// process. The result may contain duplicates.
 func (f *File) destinationKinds() []policy.Kind {
 	var kinds []policy.Kind
 	for _, d := range f.Destinations {
@@ -139,7 +139,7 @@
 	return kinds
 }
 
-// hasRates reports whether any destination has a rate, or may have one that the control process assigns.
+// hasRates reports whether any destination has a rate, or may get one from the control process.
 func (f *File) hasRates() bool {
 	hasRate := func(d Destination) bool { return d.Rate > 0 }
 	return f.Assignment.Distributed() || slices.ContainsFunc(f.Destinations, hasRate)
@@ -148,7 +148,7 @@
 // kindName returns the name of the destination's kind.
 func (d *Destination) kindName() string { return clusterspec.KindName(d.RoutesApart, d.Bundle) }
 
-// List returns the complete endpoint list of the file.
+// List returns the endpoints of all destinations of the file as a complete list.
 func (f *File) List() directory.List {
 	list := directory.List{Complete: true, Live: true}
 	for i := range f.Destinations {
