--- a/internal/clusterspec/delta.go
+++ b/internal/clusterspec/delta.go
@@ -20,7 +20,7 @@
 	changed.setDefaults()
 }
 
-// Append adds the changes of a later delta. Where both change an element, the later one is applied last.
+// Append adds the changes of a later delta.
 func (d *Delta) Append(later Delta) {
 	d.Nodes = append(d.Nodes, later.Nodes...)
 	d.RemovedNodes = append(d.RemovedNodes, later.RemovedNodes...)
@@ -98,8 +98,8 @@
 	return delta
 }
 
-// diffByKey returns the elements of to that are new or differ from the element of from with the same key, in the order of
-// to, and the keys that only from contains, in the order of from.
+// diffByKey returns the elements of to that are new or differ from the element of from with the same key, in the order
+// of to, and the keys that only from contains, in the order of from.
 func diffByKey[K comparable, V any](from, to []V, key func(*V) K, equal func(a, b *V) bool) (changed []V, removed []K) {
 	remaining := make(map[K]*V, len(from))
 	for i := range from {
@@ -120,7 +120,8 @@
 	return changed, removed
 }
 
-// maxPartBytes bounds the JSON elements of one part of a split delta. A single longer element is a part of its own.
+// maxPartBytes is the maximum length of the JSON of all elements in one part of a split delta. A longer element is a
+// part of its own.
 const maxPartBytes = 256 << 10
 
 // splitter distributes the elements of a delta among parts of a bounded length.
@@ -145,8 +146,8 @@
 	return nil
 }
 
-// Split splits a delta into one or more parts of a bounded length as JSON. Applying them in order has the same effect as
-// applying the delta.
+// Split splits a delta into one or more parts of a bounded length as JSON. Applying them in order has the same effect
+// as applying the delta.
 func (d *Delta) Split() ([]Delta, error) {
 	var s splitter
 	for _, name := range d.RemovedNodes {
--- a/internal/clusterspec/spec.go
+++ b/internal/clusterspec/spec.go
@@ -1,5 +1,5 @@
-// Package clusterspec defines the desired state of a cluster: its delivery nodes, and the destinations that they deliver
-// to. A control process assigns the destinations of a [Spec] to its nodes.
+// Package clusterspec defines the desired state of a cluster: its delivery nodes, and the destinations that they
+// deliver to. A control process assigns the destinations of a [Spec] to its nodes.
 //
 // The settings file, the replicated log and the HTTP interface of control machines contain a Spec, or a [Delta] between
 // two. A Spec and its parts have no lock. A Spec that is in use is never modified.
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -146,8 +146,8 @@
 	}
 }
 
-// Persisted numbers of classes and zones do not depend on the order in the current file. A class that the file no longer
-// contains keeps its number and is not used.
+// Persisted numbers of classes and zones do not depend on the order in the current file. A class that the file no
+// longer contains keeps its number and is not used.
 func TestSettingsKeepPersistedNumbers(t *testing.T) {
 	f, err := Load("../../deploy/gateway.toml")
 	if err != nil {
--- a/internal/config/quorum.go
+++ b/internal/config/quorum.go
@@ -20,7 +20,7 @@
 	maxElectionTicks = 1000
 )
 
-// Quorum is the section of a control machine that is a member of a quorum. Without it, there is a single control process.
+// Quorum is the section of a control machine that is a member of a quorum. Without it, there is one control process.
 type Quorum struct {
 	ID     uint64 `toml:"id"`     // id of this machine
 	Region string `toml:"region"` // region of this machine
--- a/internal/consensus/consensus.go
+++ b/internal/consensus/consensus.go
@@ -2,8 +2,8 @@
 // implements the protocol. This package stores the log and its snapshots on disk, sends messages between members over
 // HTTP, and orders disk writes, network sends and calls of the state machine.
 //
-// A [Node] is one member. Only the goroutine of [Node.Run] accesses its state; other goroutines queue requests for
-// it. Only that goroutine calls the [StateMachine], except for the encoding of a snapshot. Entries and votes are synced to
+// A [Node] is one member. Only the goroutine of [Node.Run] accesses its state; other goroutines queue requests for it.
+// Only that goroutine calls the [StateMachine], except for the encoding of a snapshot. Entries and votes are synced to
 // disk before a message that depends on them is sent.
 //
 // A member stops if its disk fails, or if its folder lacks entries that it has acknowledged to other members.
--- a/internal/consensus/core.go
+++ b/internal/consensus/core.go
@@ -9,7 +9,7 @@
 )
 
 // core is a member without goroutines or clocks. Its caller calls raw.Tick, passes it received messages and sends the
-// messages that processReady emits.
+// messages that processReady passes to send.
 type core struct {
 	config    Config
 	raw       *raft.RawNode
--- a/internal/consensus/fixture_test.go
+++ b/internal/consensus/fixture_test.go
@@ -164,7 +164,8 @@
 	}
 }
 
-// A member started on the fixture restores its state machine from the snapshot and applies the committed entries after it.
+// A member started on the fixture restores its state machine from the snapshot and applies the committed entries after
+// it.
 func TestFixtureLogIsRestoredAndApplied(t *testing.T) {
 	machine := &recorder{}
 	c, err := newCore(Config{ID: 1, Dir: copyFixture(t), Machine: machine}.withDefaults())
--- a/internal/consensus/transport.go
+++ b/internal/consensus/transport.go
@@ -110,7 +110,8 @@
 	t.reporter = reporter
 }
 
-// SetMembers sets the addresses (HOST:PORT) of all destination members by id, and drops the queues of other members.
+// SetMembers sets the addresses (HOST:PORT) of all members to send to, by id. It drops the queues of members that are
+// removed or have a new address.
 func (t *Transport) SetMembers(addresses map[uint64]string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
