--- a/internal/store/group/calls.go
+++ b/internal/store/group/calls.go
@@ -10,9 +10,9 @@
 	"wingmount/policy"
 )
 
-var errClosed = fmt.Errorf("%w: it is closed", store.ErrUnavailable)
+var errClosed = fmt.Errorf("%w: the store is closed", store.ErrUnavailable)
 
-// Accept implements [store.Store]. While the database can't be written it rejects at once.
+// Accept implements [store.Store]. If the last transaction failed, it rejects the message immediately.
 func (q *Queue) Accept(ctx context.Context, m *message.Message) error {
 	r, err := q.enqueueAccept(m)
 	if err != nil {
@@ -29,7 +29,7 @@
 	return <-r.done
 }
 
-// enqueueAccept numbers a message and queues its record.
+// enqueueAccept assigns the next sequence number to a message and queues its Accept record.
 func (q *Queue) enqueueAccept(m *message.Message) (*Record, error) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -46,8 +46,9 @@
 	return r, nil
 }
 
-// giveUpAccept is called when the caller of Accept stops waiting. It returns the error for the caller, or nil if the caller
-// must wait for the record: it may be persisted at this moment, and nobody receives the message if it was.
+// giveUpAccept is called when the context of Accept ends. It returns the error for the caller. It returns nil if the
+// caller must continue to wait: a transaction may be persisting the record, and without onLate nothing else would receive
+// the message.
 func (q *Queue) giveUpAccept(r *Record) error {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -71,7 +72,7 @@
 	return q.wait(ctx, r)
 }
 
-// enqueueAttempt queues the record of an attempt, if all of its messages may be sent.
+// enqueueAttempt queues the record of an attempt. It returns an error if one of its messages must not be sent.
 func (q *Queue) enqueueAttempt(a store.Attempt) (*Record, error) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -95,7 +96,8 @@
 	return r, nil
 }
 
-// RecordOutcome implements [store.Store]. It waits until a delivery is durable; other outcomes are only queued.
+// RecordOutcome implements [store.Store]. For a delivery it waits until the record is durable; it only queues other
+// outcomes.
 func (q *Queue) RecordOutcome(ctx context.Context, o store.Outcome) error {
 	r, err := q.enqueueOutcome(o)
 	if err != nil || r == nil || !r.hasWaiter {
@@ -104,7 +106,7 @@
 	return q.wait(ctx, r)
 }
 
-// enqueueOutcome queues the record of an outcome. It returns nil if the message is completed already.
+// enqueueOutcome queues the record of an outcome. It returns a nil record if the message is already completed.
 func (q *Queue) enqueueOutcome(o store.Outcome) (*Record, error) {
 	m := o.Message
 	q.mu.Lock()
@@ -136,8 +138,8 @@
 	return r, nil
 }
 
-// updateEndpointHealth applies an outcome to the health of its endpoint. It returns the new health to write, or nil if it
-// did not change.
+// updateEndpointHealth applies an outcome to the health of its endpoint. It returns the new health, which must be written,
+// or nil if the health did not change.
 func (q *Queue) updateEndpointHealth(o store.Outcome) *store.EndpointHealth {
 	h := q.endpointHealth[o.Endpoint]
 	switch o.Outcome {
@@ -164,7 +166,8 @@
 	return q.wait(ctx, r)
 }
 
-// enqueueCompletions queues one record of the completions whose messages are unfinished. Without any the record is a barrier.
+// enqueueCompletions queues one record with the completions of unfinished messages. If there are none, the record is only
+// a barrier.
 func (q *Queue) enqueueCompletions(completions []store.Completion) (*Record, error) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -201,7 +204,8 @@
 	return nil
 }
 
-// closedOrFenced returns why no record may be queued any more, or nil.
+// closedOrFenced returns the error of a closed or fenced queue, to which no record may be added, or nil. It is called with
+// the lock held.
 func (q *Queue) closedOrFenced() error {
 	if q.closing {
 		return errClosed
@@ -209,7 +213,7 @@
 	return q.fencedErr
 }
 
-// wait waits until a record is durable.
+// wait waits until a record is decided and returns its result.
 func (q *Queue) wait(ctx context.Context, r *Record) error {
 	select {
 	case err := <-r.done:
@@ -219,8 +223,8 @@
 	}
 }
 
-// classifyError wraps the error of a transaction for the callers whose records it fails: [store.ErrFull] or
-// [store.ErrUnavailable], unless it has a class of its own.
+// classifyError wraps a transaction's error for the callers whose records failed: in [store.ErrFull] or
+// [store.ErrUnavailable]. It returns [store.ErrFenced] and [store.ErrUndecided] unchanged.
 func (q *Queue) classifyError(err error) error {
 	if errors.Is(err, store.ErrFenced) || errors.Is(err, store.ErrUndecided) {
 		return err
--- a/internal/store/group/find.go
+++ b/internal/store/group/find.go
@@ -6,14 +6,14 @@
 	"wingmount/internal/store"
 )
 
-// findRequest is one id to look up.
+// findRequest is a caller's lookup of one message id.
 type findRequest struct {
 	id   string
-	done chan error // has capacity for the result
+	done chan error // buffered, so that the writer does not block
 }
 
-// Find implements [store.Finder], if the backend is a [BatchFinder]. The writer looks up between two transactions: then no record
-// of an Accept is claimed and undecided.
+// Find implements [store.Finder] if the backend is a [BatchFinder]. The writer looks ids up between two transactions, when
+// no Accept record is claimed but undecided.
 func (q *Queue) Find(ctx context.Context, id string) error {
 	f := findRequest{id: id, done: make(chan error, 1)}
 	if err := q.enqueueFind(f); err != nil {
@@ -37,14 +37,14 @@
 		return err
 	}
 	if len(q.finds) >= maxPendingFinds {
-		return fmt.Errorf("%w: too many ids are asked for", store.ErrUnavailable)
+		return fmt.Errorf("%w: more than %d pending id lookups", store.ErrUnavailable, maxPendingFinds)
 	}
 	q.finds = append(q.finds, f)
 	q.wakeWriter()
 	return nil
 }
 
-// answerFinds looks up all queued ids. Only the writer calls it.
+// answerFinds looks up all queued ids and sends the results to their callers. Only the writer calls it.
 func (q *Queue) answerFinds() {
 	q.mu.Lock()
 	finds := q.finds
@@ -71,7 +71,7 @@
 func (q *Queue) findInBackend(ids []string) ([]error, error) {
 	finder, ok := q.backend.(BatchFinder)
 	if !ok {
-		return nil, fmt.Errorf("%w: it can't be asked for an id", store.ErrUnavailable)
+		return nil, fmt.Errorf("%w: the store does not support id lookups", store.ErrUnavailable)
 	}
 	return finder.Find(ids)
 }
--- a/internal/store/group/group.go
+++ b/internal/store/group/group.go
@@ -1,23 +1,23 @@
-// Package group implements the part of a store of record that does not depend on the database: it decides in memory, in
-// the order of the calls, and queues the records that one goroutine writes in transactions of many records.
+// Package group implements the database-independent part of a store of record by group commit: [Queue] decides each call
+// in memory, in the order of the calls, and queues its record. One goroutine writes the queued records in transactions of
+// many records.
 //
-// While the database can't be written new messages are rejected at once. All other records wait in the queue until they
-// are written; their number is bounded by the messages in flight.
+// While the database can't be written, new messages are rejected immediately. All other records stay queued until they are
+// written; their number is bounded by the messages in flight.
 //
 // # Implied responses
 //
-// Where nodes share a database, a message that has no final response on record when its owner's lease expires, and whose
-// deadline is within that lease, has failed: every later owner decides so. A node that can't write may therefore notify
-// that failure itself once the deadline has passed, in place of the response that it could not write. Such a response is
-// implied by the lease; [Implier] has the bound on the deadlines, and implied.go the rule.
+// Nodes that share a database use the same rule for a message whose owner's lease has expired: if the message has no final
+// response on record and its deadline is within that lease, it has failed. A node that can't write may therefore notify the
+// client of that failure once the deadline has passed, instead of the response that it could not write. Such a response is
+// implied by the lease. [Implier] defines the latest deadline to which the rule applies, and implied.go implements the rule.
 //
 // # Concurrency
 //
 // The methods of [Queue] are safe for concurrent use; its mutex guards the queue and all decisions. The writer's goroutine
-// reads and writes the [Backend], without the lock. A second goroutine runs if the backend is an [Implier]. Both end with
-// Close.
+// calls the [Backend] without the lock. A second goroutine runs if the backend is an [Implier]. Both end with Close.
 //
-// Start reading at [Queue] and its commit method; calls.go has the methods of [store.Store].
+// Start reading at [Queue] and its commit method. calls.go contains the methods of [store.Store].
 package group
 
 import (
@@ -32,36 +32,37 @@
 )
 
 const (
-	// maxBatchRecords and minBatchRecords bound the records of one transaction. A failed transaction halves the bound of the
-	// next and a good one doubles it: a database too slow for a full transaction would never make progress.
+	// maxBatchRecords and minBatchRecords bound the number of records in a transaction. The limit is halved after each failed
+	// transaction and doubled after each successful one: with a fixed limit, a database that is too slow for a full
+	// transaction would never make progress.
 	maxBatchRecords, minBatchRecords = 512, 8
-	// acceptShareDivisor reserves one record in so many of a transaction for messages to accept.
+	// acceptShareDivisor reserves 1/acceptShareDivisor of a transaction's records for messages to accept.
 	acceptShareDivisor = 8
 	// commitRetryDelay is the pause after a failed transaction.
 	commitRetryDelay = 50 * time.Millisecond
-	// closeTimeout is how long Close tries to write the remaining records. A transaction that is in progress then is
-	// awaited.
+	// closeTimeout is how long Close tries to write the remaining records. Close still waits for a transaction that is in
+	// progress when the timeout expires.
 	closeTimeout = 5 * time.Second
 	// maintenanceInterval is the time between two calls of Backend.Maintain.
 	maintenanceInterval = 200 * time.Millisecond
-	// impliedDelay is how long a final response may wait to be written, and its message's deadline may have passed, before
-	// the client is notified of the implied response.
+	// impliedDelay is the minimum time between the message's deadline and the notification of its implied response. It is
+	// also the minimum time for which the response to replace must have been queued.
 	impliedDelay = 100 * time.Millisecond
-	// impliedCheckInterval is the time between two searches for responses to imply.
+	// impliedCheckInterval is the time between two searches for unwritten responses that the lease implies.
 	impliedCheckInterval = 25 * time.Millisecond
-	// maxPendingFinds bounds the ids to look up; a further lookup fails as unavailable.
+	// maxPendingFinds bounds the number of queued id lookups. A further lookup returns store.ErrUnavailable.
 	maxPendingFinds = 256
 )
 
 // Config configures a queue.
 type Config struct {
-	// NotifyDelivered is set if clients are notified of deliveries as of other final responses.
+	// NotifyDelivered is set if clients are notified of deliveries too, not only of other final responses.
 	NotifyDelivered bool
-	// LastSeq is the last number that was assigned: the first accepted message has the next one.
+	// LastSeq is the last assigned sequence number. The next accepted message gets LastSeq+1.
 	LastSeq policy.MessageID
-	// Unfinished are the recovered messages without a final response.
+	// Unfinished lists the recovered messages without a final response.
 	Unfinished []*message.Message
-	// EndpointHealth is the recovered health of endpoints, by name. It is copied.
+	// EndpointHealth is the recovered health of endpoints by name. New copies it.
 	EndpointHealth map[string]*store.EndpointHealth
 }
 
@@ -71,32 +72,32 @@
 	backend Backend
 	log     *slog.Logger
 
-	wake       chan struct{} // has an element if the writer may have work
+	wake       chan struct{} // non-empty if the writer may have work
 	writerDone chan struct{} // closed when the writer has ended
 	fenced     chan struct{} // closed once fencedErr is set
-	batchLimit int           // records in the next transaction; only the writer uses it
+	batchLimit int           // maximum records in the next transaction; only the writer uses it
 
-	mu        sync.Mutex // guards all below
-	updates   []*Record  // all records but those of messages to accept, in their order
-	accepts   []*Record  // messages to accept, written after the updates: see commit
+	mu        sync.Mutex // guards all fields below
+	updates   []*Record  // queued records other than Accept, in the order of their calls
+	accepts   []*Record  // queued Accept records, written after the updates: see commit
 	finds     []findRequest
 	closing   bool
-	closeBy   time.Time // when Close gives up; set with closing
+	closeBy   time.Time // when Close stops trying to write; set with closing
 	failure   error     // of the last transaction, nil if it succeeded
-	fencedErr error     // set once nothing may be written any more
+	fencedErr error     // set once this node must not write any further record
 
-	onLate    func(*message.Message) // nil if Accept waits for the writer's decision
-	capacity  func() int             // in messages; nil if there is no takeover
+	onLate    func(*message.Message) // nil if Accept must wait until its record is decided
+	capacity  func() int             // in messages; nil if takeover is disabled
 	adopt     func(store.Recovered)
 	onImplied func(*message.Message)
 
 	lastSeq        policy.MessageID
 	unfinished     map[policy.MessageID]*message.Message  // without a final response
 	unwritten      map[policy.MessageID]unwrittenResponse // see trackUnwritten
-	endpointHealth map[string]*store.EndpointHealth       // of endpoints that have failed, to write only changes
+	endpointHealth map[string]*store.EndpointHealth       // endpoints that have failed; lets only changes be written
 }
 
-// New returns a queue, whose goroutines run until Close.
+// New returns a queue and starts its goroutines, which run until Close or until the node is fenced.
 func New(c Config, b Backend, log *slog.Logger) *Queue {
 	q := &Queue{
 		cfg: c, backend: b, log: log, wake: make(chan struct{}, 1), writerDone: make(chan struct{}), fenced: make(chan struct{}),
@@ -142,14 +143,14 @@
 // Lost implements part of [store.Shared].
 func (q *Queue) Lost() <-chan struct{} { return q.fenced }
 
-// Pending returns how many records are not written yet.
+// Pending returns the number of queued records, including those of a transaction in progress.
 func (q *Queue) Pending() int {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return len(q.updates) + len(q.accepts)
 }
 
-// Failure returns why the last transaction failed, or nil if it succeeded.
+// Failure returns the error of the last transaction, or nil if it succeeded.
 func (q *Queue) Failure() error {
 	q.mu.Lock()
 	defer q.mu.Unlock()
--- a/internal/store/group/group_test.go
+++ b/internal/store/group/group_test.go
@@ -20,85 +20,89 @@
 
 var ctx = context.Background()
 
-// gate is a backend whose transactions wait for the test, and that keeps the written records.
-type gate struct {
-	entered      chan int   // the records of a transaction that waits
-	release      chan error // how it ends
+// blockingBackend is a backend whose Commit blocks until the test releases it. It retains the written records.
+type blockingBackend struct {
+	entered      chan int   // receives the number of records of each Commit when it blocks
+	release      chan error // the result of the blocked Commit
 	mu           sync.Mutex
 	written      []*Record
-	begin        error
-	full         error
-	closed       int
-	batch        []*Record // of the transaction that waits
-	maintenances int
+	beginErr     error     // returned by Begin
+	fullErr      error     // the error for which Full is true
+	closed       int       // number of Close calls
+	batch        []*Record // of the blocked Commit
+	maintenances int       // number of Maintain calls
 }
 
-func newGate() *gate { return &gate{entered: make(chan int), release: make(chan error)} }
+func newBlockingBackend() *blockingBackend {
+	return &blockingBackend{entered: make(chan int), release: make(chan error)}
+}
 
-func (g *gate) Begin() error {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	return g.begin
+func (b *blockingBackend) Begin() error {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.beginErr
 }
 
-func (g *gate) Commit(batch []*Record) ([]error, error) {
-	g.batch = batch // read after entered was received
-	g.entered <- len(batch)
-	if err := <-g.release; err != nil {
+func (b *blockingBackend) Commit(batch []*Record) ([]error, error) {
+	b.batch = batch // read after entered was received
+	b.entered <- len(batch)
+	if err := <-b.release; err != nil {
 		return nil, err
 	}
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.written = append(g.written, batch...)
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.written = append(b.written, batch...)
 	return make([]error, len(batch)), nil
 }
 
-func (g *gate) Maintain(time.Time) error {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.maintenances++
+func (b *blockingBackend) Maintain(time.Time) error {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.maintenances++
 	return nil
 }
 
-func (g *gate) Closing(time.Time) {}
+func (b *blockingBackend) Closing(time.Time) {}
 
-func (g *gate) Full(err error) bool { return err != nil && errors.Is(err, g.full) }
+func (b *blockingBackend) Full(err error) bool { return err != nil && errors.Is(err, b.fullErr) }
 
-func (g *gate) Close() error { g.closed++; return nil }
+func (b *blockingBackend) Close() error { b.closed++; return nil }
 
-func (g *gate) ids() string {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	var ids []string
-	for _, r := range g.written {
-		ids = append(ids, fmt.Sprint(r.Kind, r.Seqs))
+// writtenRecords returns the kinds and sequence numbers of the written records as text.
+func (b *blockingBackend) writtenRecords() string {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	var records []string
+	for _, r := range b.written {
+		records = append(records, fmt.Sprint(r.Kind, r.Seqs))
 	}
-	return fmt.Sprint(ids)
+	return fmt.Sprint(records)
 }
 
-// pass lets transactions through until a condition is true.
-func (g *gate) pass(t *testing.T, until func() bool) {
+// commitUntil lets transactions succeed until a condition is true.
+func (b *blockingBackend) commitUntil(t *testing.T, until func() bool) {
 	t.Helper()
 	deadline := time.After(testkit.EventuallyTimeout)
 	for !until() {
 		select {
-		case <-g.entered:
-			g.release <- nil
+		case <-b.entered:
+			b.release <- nil
 		case <-time.After(time.Millisecond):
 		case <-deadline:
-			t.Fatal("timeout: the condition was never met")
+			t.Fatal("timeout waiting for the condition")
 		}
 	}
 }
 
-func start(t *testing.T) (*Queue, *gate) {
+// startQueue returns a queue on a blockingBackend. The queue is closed at the end of the test.
+func startQueue(t *testing.T) (*Queue, *blockingBackend) {
 	t.Helper()
-	g := newGate()
-	q := New(Config{NotifyDelivered: true}, g, testkit.QuietLog())
+	b := newBlockingBackend()
+	q := New(Config{NotifyDelivered: true}, b, testkit.QuietLog())
 	t.Cleanup(func() {
 		done := make(chan struct{})
-		go func() { _ = q.Close(); close(done) }() // the test may have closed it
-		g.pass(t, func() bool {
+		go func() { _ = q.Close(); close(done) }() // fails if the test has closed the queue
+		b.commitUntil(t, func() bool {
 			select {
 			case <-done:
 				return true
@@ -107,7 +111,7 @@
 			}
 		})
 	})
-	return q, g
+	return q, b
 }
 
 func async(f func() error) <-chan error {
@@ -116,53 +120,55 @@
 	return done
 }
 
-func accepted(t *testing.T, q *Queue, g *gate, id string) *message.Message {
+// acceptMessage accepts a new message in a transaction of its own and returns it.
+func acceptMessage(t *testing.T, q *Queue, b *blockingBackend, id string) *message.Message {
 	t.Helper()
 	m := &message.Message{ID: id}
 	done := async(func() error { return q.Accept(ctx, m) })
-	<-g.entered
-	g.release <- nil
+	<-b.entered
+	b.release <- nil
 	testkit.Must(t, <-done)
 	return m
 }
 
-// Records that are queued during a transaction are written together by the next, in their order.
+// Records that are queued during a transaction are written together by the next one, in the order of their calls.
 func TestRecordsDuringCommitFormNextBatch(t *testing.T) {
-	q, g := start(t)
-	m := accepted(t, q, g, "a")
+	q, b := startQueue(t)
+	m := acceptMessage(t, q, b, "a")
 	first := async(func() error {
 		return q.RecordAttempt(ctx, store.Attempt{Endpoint: "e", Messages: []*message.Message{m}})
 	})
-	<-g.entered
+	<-b.entered
 	testkit.Must(t, q.RecordOutcome(ctx, store.Outcome{Message: m, Outcome: policy.RateLimited, Endpoint: "e"}))
 	second := async(func() error {
 		return q.Complete(ctx, store.Completion{Message: m, Response: message.FinalResponse{Kind: message.Rejected}})
 	})
-	testkit.Eventually(t, "the completion in the queue", func() bool { return q.Pending() == 3 })
+	testkit.Eventually(t, "completion queued", func() bool { return q.Pending() == 3 })
 	testkit.Must(t, q.MarkNotified(ctx, m))
-	g.release <- nil
+	b.release <- nil
 	testkit.Must(t, <-first)
-	if n := <-g.entered; n != 3 {
-		t.Errorf("got %d records together, want 3", n)
+	if n := <-b.entered; n != 3 {
+		t.Errorf("records in the next transaction: got %d, want 3", n)
 	}
-	g.release <- nil
+	b.release <- nil
 	testkit.Must(t, <-second)
-	if got := g.ids(); got != "[0 [1] 1 [1] 2 [1] 3 [1] 4 [1]]" {
-		t.Errorf("written: got %s", got)
+	if got, want := b.writtenRecords(), "[0 [1] 1 [1] 2 [1] 3 [1] 4 [1]]"; got != want {
+		t.Errorf("written records: got %s, want %s", got, want)
 	}
 }
 
-// Accept whose context ends is cancelled while its record is queued. Once its transaction is in progress it is undecided,
-// and the message is passed to OnLate if it was written. Without OnLate the caller waits.
-func TestAcceptWithCancelledContext(t *testing.T) {
-	q, g := start(t)
+// If the context of Accept ends while its record is queued, the record is cancelled. If it ends while the record's
+// transaction is in progress, Accept returns ErrUndecided, and OnLate receives the message if it was written. Without an
+// OnLate function Accept waits for the result.
+func TestAcceptCancelledContextIsUnavailableOrUndecided(t *testing.T) {
+	q, b := startQueue(t)
 	late := make(chan *message.Message, 4)
 	q.OnLate(func(m *message.Message) { late <- m })
 	callerCtx, cancel := context.WithCancel(ctx)
-	inCommit := async(func() error { return q.Accept(callerCtx, &message.Message{ID: "under way"}) })
-	<-g.entered
-	waiting := async(func() error { return q.Accept(callerCtx, &message.Message{ID: "waits"}) })
-	testkit.Eventually(t, "both", func() bool { return q.Pending() == 2 })
+	inCommit := async(func() error { return q.Accept(callerCtx, &message.Message{ID: "committing"}) })
+	<-b.entered
+	waiting := async(func() error { return q.Accept(callerCtx, &message.Message{ID: "queued"}) })
+	testkit.Eventually(t, "both records queued", func() bool { return q.Pending() == 2 })
 	cancel()
 	if err := <-inCommit; !errors.Is(err, store.ErrUndecided) {
 		t.Errorf("during its transaction: got %v, want ErrUndecided", err)
@@ -170,97 +176,98 @@
 	if err := <-waiting; !errors.Is(err, store.ErrUnavailable) {
 		t.Errorf("queued: got %v, want ErrUnavailable", err)
 	}
-	g.release <- nil
-	if m := <-late; m.ID != "under way" {
-		t.Errorf("%s was passed on", m.ID)
+	b.release <- nil
+	if m := <-late; m.ID != "committing" {
+		t.Errorf("OnLate: got message %s, want committing", m.ID)
 	}
-	if n := <-g.entered; n != 0 {
-		t.Errorf("records after it: got %d, want 0", n)
+	if n := <-b.entered; n != 0 {
+		t.Errorf("records in the next transaction: got %d, want 0", n)
 	}
-	g.release <- nil
-	// A failed one was not accepted, and is not passed on.
+	b.release <- nil
+	// A message whose transaction failed was not accepted: OnLate must not receive it.
 	callerCtx, cancel = context.WithCancel(ctx)
 	inCommit = async(func() error { return q.Accept(callerCtx, &message.Message{ID: "fails"}) })
-	<-g.entered
+	<-b.entered
 	cancel()
 	if err := <-inCommit; !errors.Is(err, store.ErrUndecided) {
 		t.Errorf("during its transaction: got %v, want ErrUndecided", err)
 	}
-	g.release <- errors.New("no")
-	g.pass(t, func() bool { return q.Failure() == nil && q.Pending() == 0 })
+	b.release <- errors.New("commit failed")
+	b.commitUntil(t, func() bool { return q.Failure() == nil && q.Pending() == 0 })
 	if len(late) != 0 {
-		t.Errorf("%s was passed on", (<-late).ID)
+		t.Errorf("OnLate: got message %s, want none", (<-late).ID)
 	}
 	q.OnLate(nil)
 	callerCtx, cancel = context.WithCancel(ctx)
-	inCommit = async(func() error { return q.Accept(callerCtx, &message.Message{ID: "waited for"}) })
-	<-g.entered
+	inCommit = async(func() error { return q.Accept(callerCtx, &message.Message{ID: "without OnLate"}) })
+	<-b.entered
 	cancel()
 	select {
 	case err := <-inCommit:
-		t.Errorf("it did not wait: %v", err)
-	case <-time.After(20 * time.Millisecond): // long enough for one that does not wait to show
+		t.Errorf("without OnLate: Accept did not wait for its transaction: %v", err)
+	case <-time.After(20 * time.Millisecond): // long enough for an Accept that does not wait to return
 	}
-	g.release <- nil
+	b.release <- nil
 	testkit.Must(t, <-inCommit)
 }
 
-// A failed transaction rejects the messages to accept, queued or new, and keeps all other records in order. Messages are
-// accepted again after the next good transaction.
-func TestFailedTransaction(t *testing.T) {
-	q, g := start(t)
-	m := accepted(t, q, g, "a")
-	g.full = errors.New("disk full")
+// A failed transaction rejects queued and new messages to accept, and keeps all other records queued. After the next
+// successful transaction messages are accepted again.
+func TestFailedTransactionRejectsAcceptsUntilNextCommit(t *testing.T) {
+	q, b := startQueue(t)
+	m := acceptMessage(t, q, b, "a")
+	b.fullErr = errors.New("disk full")
 	completion := async(func() error { return q.Complete(ctx, store.Completion{Message: m}) })
-	<-g.entered
+	<-b.entered
 	accept := async(func() error { return q.Accept(ctx, &message.Message{ID: "b"}) })
-	testkit.Eventually(t, "both", func() bool { return q.Pending() == 2 })
-	g.release <- g.full
+	testkit.Eventually(t, "both records queued", func() bool { return q.Pending() == 2 })
+	b.release <- b.fullErr
 	if err := <-accept; !errors.Is(err, store.ErrFull) {
-		t.Errorf("Accept of a full database: got %v, want ErrFull", err)
+		t.Errorf("queued Accept: got %v, want ErrFull", err)
 	}
 	if err := q.Accept(ctx, &message.Message{ID: "c"}); !errors.Is(err, store.ErrFull) {
-		t.Errorf("Accept after it: got %v, want ErrFull", err)
+		t.Errorf("Accept after the failure: got %v, want ErrFull", err)
 	}
-	<-g.entered
-	g.release <- nil
+	<-b.entered
+	b.release <- nil
 	testkit.Must(t, <-completion)
-	testkit.Eventually(t, "that messages are accepted again", func() bool { return q.Failure() == nil })
-	accepted(t, q, g, "d")
+	testkit.Eventually(t, "messages accepted again", func() bool { return q.Failure() == nil })
+	acceptMessage(t, q, b, "d")
 }
 
-// A caller whose record is written after a fault can submit a message at once: the first of many callers returns while the
-// results of the others are still to be sent.
+// When a record is written after a fault, its caller can submit a message immediately. The test guards against results
+// that are sent before the queue's failure is cleared: the first of many callers returns while the writer is still sending
+// results to the others.
 func TestAcceptsResumeBeforeCallersReturn(t *testing.T) {
-	q, g := start(t)
+	q, b := startQueue(t)
 	for round := range 10 {
-		m := accepted(t, q, g, fmt.Sprint("m", round))
+		m := acceptMessage(t, q, b, fmt.Sprint("m", round))
 		first := async(func() error { return q.Complete(ctx, store.Completion{Message: m}) })
-		<-g.entered
+		<-b.entered
 		for range 400 {
 			testkit.Must(t, q.MarkNotified(ctx, m))
 		}
-		g.release <- errors.New("a fault")
-		<-g.entered // half as many as before, but more than one
+		b.release <- errors.New("a fault")
+		<-b.entered // with half the batch limit, but still more than one record
 		resumed := make(chan error, 1)
 		go func() { resumed <- errors.Join(<-first, q.Failure()) }()
-		g.release <- nil
+		b.release <- nil
 		if err := <-resumed; err != nil {
-			t.Fatalf("round %d: a response is on record, and messages are rejected: %v", round, err)
+			t.Fatalf("round %d: messages are still rejected after a response was written: %v", round, err)
 		}
-		g.pass(t, func() bool { return q.Pending() == 0 })
+		b.commitUntil(t, func() bool { return q.Pending() == 0 })
 	}
 }
 
-// A queue whose node was fenced writes nothing more, and fails all calls, waiting or new.
-func TestFenced(t *testing.T) {
-	q, g := start(t)
-	m, n := accepted(t, q, g, "a"), accepted(t, q, g, "b")
+// Once a node is fenced, its queue makes all waiting and new calls fail with ErrFenced.
+func TestFencedFailsWaitingAndNewCalls(t *testing.T) {
+	q, b := startQueue(t)
+	m, n := acceptMessage(t, q, b, "a"), acceptMessage(t, q, b, "b")
 	completion := async(func() error { return q.Complete(ctx, store.Completion{Message: m}) })
-	<-g.entered
+	<-b.entered
 	waiting := async(func() error { return q.Complete(ctx, store.Completion{Message: n}) })
-	testkit.Eventually(t, "both", func() bool { return q.Pending() == 2 })
-	g.release <- fmt.Errorf("no: %w", store.ErrFenced)
+	testkit.Eventually(t, "both records queued", func() bool { return q.Pending() == 2 })
+	b.release <- fmt.Errorf("commit failed: %w", store.ErrFenced)
 	for _, err := range []error{
 		<-completion, <-waiting, q.Accept(ctx, &message.Message{ID: "c"}), q.MarkNotified(ctx, m), q.Complete(ctx),
 		q.RecordAttempt(ctx, store.Attempt{}), q.RecordOutcome(ctx, store.Outcome{Message: n}),
@@ -270,17 +277,17 @@
 		}
 	}
 	testkit.Must(t, q.Close())
-	if g.closed != 1 {
-		t.Errorf("closed: got %d times, want 1", g.closed)
+	if b.closed != 1 {
+		t.Errorf("Close calls of the backend: got %d, want 1", b.closed)
 	}
 	if err := q.Close(); !errors.Is(err, store.ErrUnavailable) {
-		t.Errorf("closed again: got %v, want ErrUnavailable", err)
+		t.Errorf("second Close: got %v, want ErrUnavailable", err)
 	}
 }
 
-// A queue whose node was fenced leaves the responses that it has not written to the new owner of their messages: they are
-// retracted before the callers return, whether their records were in the transaction that failed or behind it. Responses
-// that were written before stay.
+// When a node is fenced, the new owner of its messages decides the responses that the node has not written. The queue
+// removes them before their callers return, whether their records were in the failed transaction or queued after it.
+// Responses that were already written remain.
 func TestFencedRetractsUnwrittenResponses(t *testing.T) {
 	delivered := func(q *Queue, m *message.Message) error {
 		return q.RecordOutcome(ctx, store.Outcome{Message: m, Outcome: policy.Delivered, Endpoint: "e", At: time.Now()})
@@ -290,25 +297,25 @@
 	}
 	for name, respond := range map[string]func(*Queue, *message.Message) error{"delivered": delivered, "failed": failed} {
 		t.Run(name, func(t *testing.T) {
-			q, g := start(t)
+			q, b := startQueue(t)
 			var messages []*message.Message
-			for _, id := range []string{"written", "in the transaction", "behind it"} {
-				messages = append(messages, accepted(t, q, g, id))
+			for _, id := range []string{"written", "in the failed transaction", "queued"} {
+				messages = append(messages, acceptMessage(t, q, b, id))
 			}
 			var results []<-chan error
 			respondTo := func(m *message.Message) {
 				before := q.Pending()
 				results = append(results, async(func() error { return respond(q, m) }))
-				testkit.Eventually(t, "the record of "+m.ID, func() bool { return q.Pending() == before+1 })
+				testkit.Eventually(t, "record queued: "+m.ID, func() bool { return q.Pending() == before+1 })
 			}
 			respondTo(messages[0])
-			<-g.entered
-			g.release <- nil
+			<-b.entered
+			b.release <- nil
 			testkit.Must(t, <-results[0])
 			respondTo(messages[1])
-			<-g.entered
+			<-b.entered
 			respondTo(messages[2])
-			g.release <- fmt.Errorf("no: %w", store.ErrFenced)
+			b.release <- fmt.Errorf("commit failed: %w", store.ErrFenced)
 			for i, m := range messages[1:] {
 				if err := <-results[i+1]; !errors.Is(err, store.ErrFenced) {
 					t.Errorf("%s: got %v, want ErrFenced", m.ID, err)
@@ -318,37 +325,37 @@
 				}
 			}
 			if messages[0].FinalResponse == nil {
-				t.Error("written: got no response, want the one on record")
+				t.Error("written: got no response, want the written one")
 			}
 		})
 	}
 }
 
-// implyingGate is a gate whose lease implies responses.
-type implyingGate struct{ *gate }
+// implyingBackend is a blockingBackend whose lease implies responses.
+type implyingBackend struct{ *blockingBackend }
 
-func (implyingGate) ImpliedUntil() time.Time { return time.Now().Add(time.Hour) }
+func (implyingBackend) ImpliedUntil() time.Time { return time.Now().Add(time.Hour) }
 
-// A response of which the client was notified since the lease implies it stays when the node is fenced: the new owner
-// decides the same.
+// A response that the lease implies remains when the node is fenced: its client may have been notified, and the new owner
+// decides the same response.
 func TestFencedKeepsImpliedResponses(t *testing.T) {
-	g := newGate()
-	q := New(Config{NotifyDelivered: true}, implyingGate{g}, testkit.QuietLog())
+	b := newBlockingBackend()
+	q := New(Config{NotifyDelivered: true}, implyingBackend{b}, testkit.QuietLog())
 	notified := make(chan *message.Message, 1)
 	q.OnImplied(func(m *message.Message) { notified <- m })
-	m, n := accepted(t, q, g, "a"), accepted(t, q, g, "b")
+	m, n := acceptMessage(t, q, b, "a"), acceptMessage(t, q, b, "b")
 	m.Deadline, n.Deadline = time.Now(), time.Now().Add(2*time.Hour)
 	inTransaction := async(func() error { return q.Complete(ctx) })
-	<-g.entered
+	<-b.entered
 	queued := async(func() error {
 		return q.RecordOutcome(ctx, store.Outcome{Message: m, Outcome: policy.Delivered, Endpoint: "e", At: time.Now()})
 	})
 	if got := <-notified; got != m {
-		t.Fatalf("%s was notified, want a", got.ID)
+		t.Fatalf("OnImplied: got message %s, want a", got.ID)
 	}
 	notImplied := async(func() error { return q.Complete(ctx, store.Completion{Message: n}) })
-	testkit.Eventually(t, "all records", func() bool { return q.Pending() == 3 })
-	g.release <- store.ErrFenced
+	testkit.Eventually(t, "all records queued", func() bool { return q.Pending() == 3 })
+	b.release <- store.ErrFenced
 	for _, done := range []<-chan error{inTransaction, queued, notImplied} {
 		if err := <-done; !errors.Is(err, store.ErrFenced) {
 			t.Errorf("got %v, want ErrFenced", err)
@@ -363,103 +370,103 @@
 	testkit.Must(t, q.Close())
 }
 
-// More records than fit into one transaction are written by several.
-func TestBatchIsBounded(t *testing.T) {
-	q, g := start(t)
-	m := accepted(t, q, g, "a")
-	blocked := async(func() error { return q.Complete(ctx) })
-	<-g.entered
+// Records that exceed maxBatchRecords are written in several transactions.
+func TestBatchIsBoundedByMaxBatchRecords(t *testing.T) {
+	q, b := startQueue(t)
+	m := acceptMessage(t, q, b, "a")
+	firstCommit := async(func() error { return q.Complete(ctx) })
+	<-b.entered
 	for range 2*maxBatchRecords + 10 {
 		testkit.Must(t, q.MarkNotified(ctx, m))
 	}
-	g.release <- nil
-	testkit.Must(t, <-blocked)
+	b.release <- nil
+	testkit.Must(t, <-firstCommit)
 	for _, want := range []int{maxBatchRecords, maxBatchRecords, 10} {
-		if n := <-g.entered; n != want {
+		if n := <-b.entered; n != want {
 			t.Errorf("records in one transaction: got %d, want %d", n, want)
 		}
-		g.release <- nil
+		b.release <- nil
 	}
 }
 
-// A database that is too slow for a full transaction still makes progress: a failed transaction halves the size of the
-// next, and good ones double it.
+// A database that is too slow for a full transaction still makes progress: each failed transaction halves the size of the
+// next one, and each successful transaction doubles it.
 func TestBatchShrinksWithFailures(t *testing.T) {
-	q, g := start(t)
+	q, b := startQueue(t)
 	pending := make([]*message.Message, 2*maxBatchRecords)
 	for i := range pending {
 		pending[i] = &message.Message{Seq: policy.MessageID(i + 1)}
 		q.unfinished[pending[i].Seq] = pending[i]
 	}
 	first := async(func() error { return q.Complete(ctx) })
-	<-g.entered
+	<-b.entered
 	for _, m := range pending {
 		testkit.Must(t, q.RecordOutcome(ctx, store.Outcome{Message: m, Outcome: policy.TimedOut, At: time.Now()}))
 	}
-	g.release <- nil
+	b.release <- nil
 	testkit.Must(t, <-first)
-	const fits = 40 // records that this database can write in time
+	const maxRecordsInTime = 40 // the largest transaction that this database can write in time
 	var sizes []int
 	for n, failed := 0, 0; n < len(pending); {
-		size := <-g.entered
+		size := <-b.entered
 		sizes = append(sizes, size)
-		if size > fits {
+		if size > maxRecordsInTime {
 			if failed++; failed > 100 {
-				t.Fatalf("no progress: %v", sizes)
+				t.Fatalf("no progress after 100 failures: transactions of %v records", sizes)
 			}
-			g.release <- errors.New("too slow")
+			b.release <- errors.New("too slow")
 			continue
 		}
-		g.release <- nil
+		b.release <- nil
 		n += size
 	}
 	if sizes[0] != maxBatchRecords || sizes[1] != maxBatchRecords/2 {
-		t.Errorf("transactions of %v records", sizes)
+		t.Errorf("got transactions of %v records, want %d first, then half of that", sizes, maxBatchRecords)
 	}
 }
 
 // The health of an endpoint is written only if it changes.
 func TestEndpointHealthWritesOnlyChanges(t *testing.T) {
-	q, g := start(t)
+	q, b := startQueue(t)
 	at := time.Now()
 	var got []bool
 	for i, o := range []policy.Outcome{policy.Delivered, policy.Failed, policy.RateLimited, policy.Delivered, policy.Delivered, policy.TimedOut} {
-		m := accepted(t, q, g, fmt.Sprint("m", i))
+		m := acceptMessage(t, q, b, fmt.Sprint("m", i))
 		done := async(func() error {
 			return errors.Join(q.RecordOutcome(ctx, store.Outcome{Message: m, Outcome: o, Endpoint: "e", At: at}), q.Complete(ctx))
 		})
-		g.pass(t, func() bool { return len(done) == 1 })
+		b.commitUntil(t, func() bool { return len(done) == 1 })
 		testkit.Must(t, <-done)
 	}
-	for _, r := range g.written {
+	for _, r := range b.written {
 		if r.Kind == Outcome {
 			got = append(got, r.EndpointHealth != nil)
 		}
 	}
 	if want := "[false true false true false true]"; fmt.Sprint(got) != want {
-		t.Errorf("health written: got %v, want %s", got, want)
+		t.Errorf("records with endpoint health: got %v, want %s", got, want)
 	}
 }
 
-// An attempt, outcome or completion is written before all messages to accept that were queued earlier; and these have
-// their share of each transaction if there are many updates.
-func TestAcceptsWaitForUpdates(t *testing.T) {
-	g := newGate()
+// Attempts, outcomes and completions are written before messages to accept, even those that were queued earlier. If there
+// are many updates, a share of each transaction is still reserved for messages to accept.
+func TestUpdatesPrecedeAcceptsWithReservedShare(t *testing.T) {
+	b := newBlockingBackend()
 	pending := make([]*message.Message, 3*maxBatchRecords)
 	for i := range pending {
 		pending[i] = &message.Message{Seq: policy.MessageID(10_000 + i), ID: fmt.Sprint("pending", i)}
 	}
-	q := New(Config{LastSeq: 20_000, Unfinished: pending}, g, testkit.QuietLog())
+	q := New(Config{LastSeq: 20_000, Unfinished: pending}, b, testkit.QuietLog())
 	var wg sync.WaitGroup
 	accept := func(n int) {
 		before := q.Pending()
 		for range n {
 			wg.Go(func() { testkit.Must(t, q.Accept(ctx, &message.Message{})) })
 		}
-		testkit.Eventually(t, "that messages to accept are queued", func() bool { return q.Pending() == before+n })
+		testkit.Eventually(t, "messages to accept queued", func() bool { return q.Pending() == before+n })
 	}
 	accept(1)
-	<-g.entered // and blocks the writer
+	<-b.entered // the writer is blocked
 	accept(2 * maxBatchRecords)
 	attempt := func(ms ...*message.Message) {
 		for _, m := range ms {
@@ -467,82 +474,82 @@
 			wg.Go(func() {
 				testkit.Must(t, q.RecordAttempt(ctx, store.Attempt{Endpoint: "e", At: time.Now(), Messages: []*message.Message{m}}))
 			})
-			testkit.Eventually(t, "that an attempt is queued", func() bool { return q.Pending() == before+1 })
+			testkit.Eventually(t, "attempt queued", func() bool { return q.Pending() == before+1 })
 		}
 	}
 	attempt(pending[:2]...)
-	kinds := func() (attempts, accepts int) {
-		g.release <- nil
-		<-g.entered
-		for _, r := range g.batch {
+	nextBatch := func() (attempts, accepts int) {
+		b.release <- nil
+		<-b.entered
+		for _, r := range b.batch {
 			if r.Kind == Accept {
 				accepts++
 			} else if attempts++; accepts > 0 {
-				t.Error("an attempt is behind a message to accept")
+				t.Error("an attempt follows a message to accept in the transaction")
 			}
 		}
 		return attempts, accepts
 	}
-	if a, n := kinds(); a != 2 || n != maxBatchRecords-2 {
-		t.Errorf("got %d attempts and %d messages to accept in a transaction, want 2 and the rest", a, n)
+	if a, n := nextBatch(); a != 2 || n != maxBatchRecords-2 {
+		t.Errorf("got %d attempts and %d messages to accept in a transaction, want 2 and %d", a, n, maxBatchRecords-2)
 	}
 	attempt(pending[2 : maxBatchRecords+2]...)
-	if a, n := kinds(); a != maxBatchRecords-maxBatchRecords/acceptShareDivisor || n != maxBatchRecords/acceptShareDivisor {
+	if a, n := nextBatch(); a != maxBatchRecords-maxBatchRecords/acceptShareDivisor || n != maxBatchRecords/acceptShareDivisor {
 		t.Errorf("got %d attempts and %d messages to accept in a transaction, want %d messages to accept", a, n, maxBatchRecords/acceptShareDivisor)
 	}
-	g.release <- nil
-	g.pass(t, func() bool { return q.Pending() == 0 })
+	b.release <- nil
+	b.commitUntil(t, func() bool { return q.Pending() == 0 })
 	wg.Wait()
 	testkit.Must(t, q.Close())
 }
 
-// closeTimeout counts from Close, also if a transaction is in progress then and returns only later: there is one more
-// attempt at writing, and not closeTimeout more of them.
+// closeTimeout starts with the call of Close, even if a transaction in progress returns only after it has expired: the
+// queue then tries one more transaction, and does not retry for another closeTimeout.
 func TestCloseTimeoutCountsFromClose(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g := newGate()
-		q := New(Config{}, g, testkit.QuietLog())
+		b := newBlockingBackend()
+		q := New(Config{}, b, testkit.QuietLog())
 		written := async(func() error { return q.Complete(ctx) })
-		<-g.entered
+		<-b.entered
 		closed := async(q.Close)
 		time.Sleep(closeTimeout + time.Millisecond)
-		g.mu.Lock()
-		g.begin = errors.New("the database is away")
-		g.mu.Unlock()
+		b.mu.Lock()
+		b.beginErr = errors.New("database unreachable")
+		b.mu.Unlock()
 		returned := time.Now()
-		g.release <- store.ErrUndecided
+		b.release <- store.ErrUndecided
 		if err := <-closed; err == nil {
-			t.Error("Close returned nil with a record that was not written")
+			t.Error("Close with an unwritten record: got nil, want an error")
 		}
 		if took := time.Since(returned); took > 2*commitRetryDelay {
-			t.Errorf("Close took %v after the transaction, want %v at most", took, 2*commitRetryDelay)
+			t.Errorf("Close returned %v after the transaction, want %v at most", took, 2*commitRetryDelay)
 		}
 		if err := <-written; !errors.Is(err, store.ErrUnavailable) {
-			t.Errorf("the record: got %v, want ErrUnavailable", err)
+			t.Errorf("result of the unwritten record: got %v, want ErrUnavailable", err)
 		}
 	})
 }
 
-// The backend's maintenance runs also while the queue is never empty: leases are renewed and old responses deleted under
-// load too.
-func TestMaintenanceUnderLoad(t *testing.T) {
-	g := newGate()
-	q := New(Config{}, g, testkit.QuietLog())
-	notified := func() { testkit.Must(t, q.MarkNotified(ctx, &message.Message{Seq: 1})) }
-	notified()
+// Maintain is called even while the queue is never empty, so that leases are renewed and old responses are deleted under
+// load.
+func TestMaintainRunsUnderLoad(t *testing.T) {
+	b := newBlockingBackend()
+	q := New(Config{}, b, testkit.QuietLog())
+	queueRecord := func() { testkit.Must(t, q.MarkNotified(ctx, &message.Message{Seq: 1})) }
+	queueRecord()
 	deadline := time.After(testkit.EventuallyTimeout)
 	for maintenances := 0; maintenances < 3; {
 		select {
-		case <-g.entered:
-			notified() // before this transaction has ended
-			g.release <- nil
+		case <-b.entered:
+			queueRecord() // before this transaction ends, so that the queue is never empty
+			b.release <- nil
 		case <-deadline:
 			t.Fatalf("got %d calls of Maintain under load, want 3", maintenances)
 		}
-		g.mu.Lock()
-		maintenances = g.maintenances
-		g.mu.Unlock()
+		b.mu.Lock()
+		maintenances = b.maintenances
+		b.mu.Unlock()
 	}
-	g.pass(t, func() bool { return q.Pending() == 0 })
+	b.commitUntil(t, func() bool { return q.Pending() == 0 })
 	testkit.Must(t, q.Close())
 }
--- a/internal/store/group/implied.go
+++ b/internal/store/group/implied.go
@@ -5,22 +5,23 @@
 	"wingmount/internal/message"
 )
 
-// unwrittenResponse is a final response that is not written yet.
+// unwrittenResponse is a final response whose record is not written yet.
 type unwrittenResponse struct {
 	message  *message.Message
 	record   *Record
-	index    int // in the record's Responses
+	index    int // of the response in record.Responses
 	queuedAt time.Time
 }
 
-// trackUnwritten tracks a final response, of which a client is to be notified, until it is written. It is called with the
-// lock held.
+// trackUnwritten tracks a final response until it is written. It is called, with the lock held, for each response of which
+// the client will be notified.
 func (q *Queue) trackUnwritten(m *message.Message, r *Record, index int) {
 	q.unwritten[m.Seq] = unwrittenResponse{message: m, record: r, index: index, queuedAt: time.Now()}
 }
 
-// retractUnwritten retracts the final responses that are not written, except those that the lease implies, of which
-// clients may have been notified. It is called with the lock held, before the callers of their records return.
+// retractUnwritten removes the unwritten final responses from their messages. It keeps responses that the lease implies,
+// because their clients may have been notified. It is called with the lock held, before the callers waiting for the
+// records return.
 func (q *Queue) retractUnwritten() {
 	for _, u := range q.unwritten {
 		u.message.FinalResponse = nil
@@ -28,8 +29,8 @@
 	clear(q.unwritten)
 }
 
-// runImplied passes on final responses that the lease implies because theirs are not written in time. It ends with the
-// writer.
+// runImplied periodically replaces unwritten final responses by those that the lease implies, and passes their messages to
+// onImplied. It returns when the writer has ended.
 func (q *Queue) runImplied(lease Implier) {
 	ticker := time.NewTicker(impliedCheckInterval)
 	defer ticker.Stop()
@@ -46,8 +47,8 @@
 	}
 }
 
-// applyImplied replaces the unwritten responses that the lease implies by now. It returns their messages, and the function
-// that receives them.
+// applyImplied replaces each unwritten response for which isImplied is true by the implied failure. It returns the affected
+// messages, and the function to call with each.
 func (q *Queue) applyImplied(now time.Time, impliedUntil func() time.Time) (notify func(*message.Message), messages []*message.Message) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -67,10 +68,10 @@
 	return q.onImplied, messages
 }
 
-// isImplied reports whether the client is notified of the response that the lease implies, before it is written. That is so
-// if the message's deadline is not after the time until which the lease decides (impliedUntil), and if the deadline passed
-// and the response was queued impliedDelay ago or earlier. A response in a transaction whose result is not known is
-// excluded: it may be persisted as it is.
+// isImplied reports whether an unwritten response must be replaced by the failure that the lease implies. The message's
+// deadline must not be after impliedUntil, and both the deadline and the queueing of the response must be at least
+// impliedDelay ago. A response in a transaction whose result is unknown is excluded, because that transaction may persist
+// it unchanged.
 func (u unwrittenResponse) isImplied(now, impliedUntil time.Time) bool {
 	deadline := u.message.Deadline
 	if u.record.state != queued || deadline.After(impliedUntil) {
--- a/internal/store/group/record.go
+++ b/internal/store/group/record.go
@@ -7,10 +7,10 @@
 	"wingmount/policy"
 )
 
-// Kind is the method of [store.Store] that a record is of.
+// Kind identifies the method of [store.Store] that created a record.
 type Kind int
 
-// The kinds of record, and the fields that each sets beside Seqs and At.
+// The record kinds, with the fields that each sets in addition to Seqs and At.
 const (
 	Accept   Kind = iota // Message
 	Attempt              // Histories, Endpoint, Until
@@ -19,14 +19,14 @@
 	Notified
 )
 
-// Record is one record to write to the database. A backend must not change it.
+// Record is one record to write to the database. A backend must not modify it.
 type Record struct {
 	Kind      Kind
 	Seqs      []policy.MessageID // of the messages, in the order of Histories and Responses
 	Message   *message.Message
 	Histories []message.History
 	Responses []message.FinalResponse
-	// WithoutNotification is set if the client is not notified of the responses: the messages are not pending.
+	// WithoutNotification is set if the client is not notified of the responses: their messages don't become pending.
 	WithoutNotification bool
 	Endpoint            string
 	At                  time.Time
@@ -35,26 +35,27 @@
 
 	state     recordState // guarded by the queue
 	hasWaiter bool        // a caller waits for done
-	done      chan error  // has capacity for the result
+	done      chan error  // receives the result; buffered, so that the writer does not block
 }
 
-// recordState is how far the writer has come with a record:
+// recordState is the state of a queued record. Its transitions are:
 //
-//	queued -> claimed -> decided    the usual way
+//	queued -> claimed -> decided    a transaction succeeded
 //	claimed, abandoned -> queued    the transaction failed
-//	claimed -> abandoned            the caller of Accept stopped waiting; then as claimed
-//	queued -> cancelled             the caller of Accept stopped waiting, or the message is rejected
+//	claimed -> abandoned            the caller of Accept stopped waiting; later transitions are those of claimed
+//	queued -> cancelled             the caller of Accept stopped waiting, or the message was rejected
 type recordState int
 
 const (
 	queued    recordState = iota
 	claimed               // part of the transaction in progress
-	abandoned             // claimed, and its caller does not wait any more
-	cancelled             // given up before it was claimed
+	abandoned             // claimed, and its caller no longer waits
+	cancelled             // discarded before it was claimed
 	decided               // written, or rejected by the backend
 )
 
-// enqueue queues a record. It is called with the lock held, so that the queue has the order of the decisions.
+// enqueue queues a record and wakes the writer. It is called with the lock held since the decision, so that records are
+// queued in the order of the decisions.
 func (q *Queue) enqueue(r *Record) {
 	r.done = make(chan error, 1)
 	if r.Kind == Accept {
@@ -65,7 +66,7 @@
 	q.wakeWriter()
 }
 
-// wakeWriter makes the writer look for work. It does not block.
+// wakeWriter makes the writer check for queued records and lookups. It does not block.
 func (q *Queue) wakeWriter() {
 	select {
 	case q.wake <- struct{}{}:
--- a/internal/store/group/writer.go
+++ b/internal/store/group/writer.go
@@ -8,38 +8,39 @@
 	"wingmount/internal/store"
 )
 
-// workState is what the writer has to do.
-type workState struct {
-	records int  // queued
-	closing bool // the store closes
-	closeBy time.Time
-	failure error // of the last transaction, nil if it succeeded
+// queueStatus is the part of the queue's state that determines the writer's next step.
+type queueStatus struct {
+	records int // queued
+	closing bool
+	closeBy time.Time // set if closing is
+	failure error     // of the last transaction, nil if it succeeded
 }
 
-// runWriter is the writer's goroutine. It commits queued records until the queue is closed and all is written, until a
-// transaction fails after closeBy, or until the node is fenced.
+// runWriter is the writer's goroutine. It returns when the queue is closed and all records are written, when a transaction
+// fails after closeBy, or when the node is fenced.
 func (q *Queue) runWriter() {
 	defer close(q.writerDone)
 	ticker := time.NewTicker(maintenanceInterval)
 	defer ticker.Stop()
 	lastMaintenance := time.Now()
 	for {
-		w := q.currentWork()
+		s := q.status()
 		q.answerFinds()
-		if now := time.Now(); w.failure == nil && !w.closing && now.Sub(lastMaintenance) >= maintenanceInterval {
+		if now := time.Now(); s.failure == nil && !s.closing && now.Sub(lastMaintenance) >= maintenanceInterval {
 			lastMaintenance = now
 			if !q.maintain(now) {
 				return
 			}
 		}
 		switch {
-		// Without records an empty transaction finds out whether messages can be accepted again.
-		case w.records > 0, w.failure != nil && !w.closing:
-			if !q.commitOrPause(w) {
+		// After a failure the writer commits even without records: an empty transaction tests whether messages can be
+		// accepted again.
+		case s.records > 0, s.failure != nil && !s.closing:
+			if !q.commitOrPause(s) {
 				return
 			}
 			continue
-		case w.closing:
+		case s.closing:
 			return
 		}
 		select {
@@ -49,30 +50,31 @@
 	}
 }
 
-// currentWork returns what the writer has to do now.
-func (q *Queue) currentWork() workState {
+// status returns the current status of the queue.
+func (q *Queue) status() queueStatus {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return workState{records: len(q.updates) + len(q.accepts), closing: q.closing, closeBy: q.closeBy, failure: q.failure}
+	return queueStatus{records: len(q.updates) + len(q.accepts), closing: q.closing, closeBy: q.closeBy, failure: q.failure}
 }
 
-// commitOrPause commits once, and pauses if that fails. It returns false if the writer must end.
-func (q *Queue) commitOrPause(w workState) bool {
+// commitOrPause commits one transaction, and pauses for commitRetryDelay if it fails. It returns false if the writer must
+// return.
+func (q *Queue) commitOrPause(s queueStatus) bool {
 	err := q.commit()
 	if errors.Is(err, store.ErrFenced) {
 		q.stopFenced(err)
 		return false
 	}
 	if err == nil {
-		if w.failure != nil {
+		if s.failure != nil {
 			q.log.Info("store: writable again, accepting new messages")
 		}
 		return true
 	}
-	if w.failure == nil || w.failure.Error() != err.Error() { // once for each fault
+	if s.failure == nil || s.failure.Error() != err.Error() { // log each fault once
 		q.log.Error("store: commit failed, rejecting new messages", "err", err)
 	}
-	if w.closing && time.Now().After(w.closeBy) {
+	if s.closing && time.Now().After(s.closeBy) {
 		q.failRemaining(err)
 		return false
 	}
@@ -80,7 +82,7 @@
 	return true
 }
 
-// maintain does the maintenance of the backend. It returns false if the writer must end.
+// maintain calls maintainBackend and handles its errors. It returns false if the writer must return.
 func (q *Queue) maintain(now time.Time) bool {
 	err := q.maintainBackend(now)
 	if errors.Is(err, store.ErrFenced) {
@@ -88,12 +90,12 @@
 		return false
 	}
 	if err != nil {
-		q.log.Debug("store: maintenance failed", "err", err) // it is retried after maintenanceInterval
+		q.log.Debug("store: maintenance failed", "err", err) // retried after maintenanceInterval
 	}
 	return true
 }
 
-// maintainBackend calls the backend's maintenance, and takes over the messages of nodes whose leases have expired.
+// maintainBackend calls the backend's Maintain, then takes over messages of nodes whose leases have expired.
 func (q *Queue) maintainBackend(now time.Time) error {
 	if err := q.backend.Maintain(now); err != nil {
 		return err
@@ -118,12 +120,13 @@
 	return nil
 }
 
-// stopFenced fails all queued records, and all later calls, with the error: the node is fenced and writes nothing more.
-// The new owner decides the final responses that were not written, so that messages must not have them here.
+// stopFenced makes all queued records and all later calls fail with the given error, because the node is fenced and must
+// not write any further record. The new owner of the messages decides those final responses that were not written, so
+// stopFenced removes them from the messages here.
 func (q *Queue) stopFenced(err error) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.log.Error("store: fenced, nothing is written any more", "err", err)
+	q.log.Error("store: node fenced, writes stopped permanently", "err", err)
 	q.failure, q.fencedErr = err, err
 	q.retractUnwritten()
 	close(q.fenced)
@@ -133,7 +136,8 @@
 	q.updates, q.accepts = nil, nil
 }
 
-// failRemaining fails the records that are not written before the queue is closed. They stay queued, for Close to count.
+// failRemaining sends the error to the callers of records that were not written by closeBy. The records stay queued, so
+// that Close can count them.
 func (q *Queue) failRemaining(err error) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -145,16 +149,16 @@
 // batch is the content of one transaction.
 type batch struct {
 	records []*Record
-	updates int // how many of the first updates are among them
-	accepts int // how many of the first messages to accept are decided by it, those cancelled included
+	updates int // number of elements that it uses from the head of Queue.updates
+	accepts int // number of elements that it uses from the head of Queue.accepts, including cancelled ones
 }
 
-// commit writes the first updates and, after them, messages to accept in one transaction. Messages that are only to be
-// accepted, however many, delay neither calls nor final responses. An update of a message is queued only after its Accept
-// has returned, so the records of one message stay in order. If the transaction fails, all messages to accept are rejected,
-// and all else stays queued.
+// commit writes one transaction: the first updates and, after them, Accept records. Updates go first so that messages to
+// accept, however many, delay neither calls nor final responses. The records of one message still stay in order, because
+// its updates are queued only after its Accept has returned. If the transaction fails, all queued messages to accept are
+// rejected, and the updates stay queued.
 func (q *Queue) commit() error {
-	// Nothing is claimed before the transaction has begun: until then Accept can be cancelled.
+	// Records are claimed only after the transaction has begun: until then Accept calls can be cancelled.
 	if err := q.backend.Begin(); err != nil {
 		q.rejectAccepts(err)
 		return err
@@ -178,8 +182,8 @@
 	return nil
 }
 
-// claimBatch claims the records of the next transaction: from then on none can be cancelled. Updates go first, and one
-// record in acceptShareDivisor is reserved for messages to accept while there are any.
+// claimBatch claims the records of the next transaction; a claimed record can't be cancelled. Updates go first. If messages
+// to accept are queued, 1/acceptShareDivisor of the batch is reserved for them.
 func (q *Queue) claimBatch() batch {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -199,8 +203,7 @@
 	return b
 }
 
-// unclaim makes the records of a failed transaction queued again, also those that were abandoned. They have not left the
-// queue.
+// unclaim sets the records of a failed transaction, including abandoned ones, back to queued. They are still in the queue.
 func (q *Queue) unclaim(b batch) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -210,11 +213,11 @@
 }
 
 // finishBatch removes the records of a committed transaction from the queue. It returns the messages that were accepted
-// after their callers had stopped waiting, and the function that receives them.
+// after their callers had stopped waiting, and the function to call with each.
 func (q *Queue) finishBatch(b batch, results []error) (onLate func(*message.Message), late []*message.Message) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.failure = nil // before any caller returns: it may submit a message at once
+	q.failure = nil // before any caller returns, because a caller may submit another message immediately
 	q.updates, q.accepts = slices.Delete(q.updates, 0, b.updates), slices.Delete(q.accepts, 0, b.accepts)
 	for i, r := range b.records {
 		if r.Kind == Accept && results[i] == nil {
@@ -234,11 +237,12 @@
 	return q.onLate, late
 }
 
-// rejectAccepts rejects the queued messages to accept: clients must not wait for a database that can't be written now.
+// rejectAccepts rejects the queued messages to accept, and with q.failure all later ones until a transaction succeeds:
+// clients must not wait for a database that currently can't be written.
 func (q *Queue) rejectAccepts(err error) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.failure = err // further ones are rejected at once
+	q.failure = err // rejects further messages immediately
 	for _, r := range q.accepts {
 		r.state = cancelled
 		r.done <- q.classifyError(err)
