--- a/internal/store/intents/golden_test.go
+++ b/internal/store/intents/golden_test.go
@@ -16,42 +16,45 @@
 	"wingmount/policy"
 )
 
+// goldenLog is a log that an earlier version wrote.
 const goldenLog = "golden/intents"
 
-// goldenStart is the time of the first record of the golden log.
+// goldenStart is the time of the golden log's first record.
 var goldenStart = time.Date(2000, time.January, 1, 0, 0, 0, 1000, time.UTC)
 
-// unavailable is a store that applies the calls to the messages, and writes nothing.
-type unavailable struct{ store.Store }
+// unavailableStore is a store that applies calls to their messages and returns store.ErrUnavailable.
+type unavailableStore struct{ store.Store }
 
-func (unavailable) RecordAttempt(_ context.Context, a store.Attempt) error {
+func (unavailableStore) RecordAttempt(_ context.Context, a store.Attempt) error {
 	for _, m := range a.Messages {
 		m.History.RecordAttempt(a.Zone, a.At)
 	}
 	return store.ErrUnavailable
 }
 
-func (unavailable) RecordOutcome(context.Context, store.Outcome) error { return store.ErrUnavailable }
+func (unavailableStore) RecordOutcome(context.Context, store.Outcome) error {
+	return store.ErrUnavailable
+}
 
-func (unavailable) Complete(ctx context.Context, completions ...store.Completion) error {
-	for _, e := range completions {
-		e.Message.FinalResponse = &e.Response
+func (unavailableStore) Complete(ctx context.Context, completions ...store.Completion) error {
+	for _, c := range completions {
+		c.Message.FinalResponse = &c.Response
 	}
-	if len(completions) == 0 { // the barrier that waits for the store
+	if len(completions) == 0 { // the barrier of waitForStore
 		<-ctx.Done()
 	}
 	return store.ErrUnavailable
 }
 
-func (unavailable) Close() error { return store.ErrUnavailable }
+func (unavailableStore) Close() error { return store.ErrUnavailable }
 
-// recorder is a store that records its calls as text.
-type recorder struct {
+// recordingStore is a store that records its calls as text.
+type recordingStore struct {
 	store.Store
 	calls strings.Builder
 }
 
-func (r *recorder) RecordAttempt(_ context.Context, a store.Attempt) error {
+func (r *recordingStore) RecordAttempt(_ context.Context, a store.Attempt) error {
 	for _, m := range a.Messages {
 		fmt.Fprintf(&r.calls, "attempt message=%d endpoint=%q zone=%d at=%s\n", m.Seq, a.Endpoint, a.Zone, a.At.UTC().Format(time.RFC3339Nano))
 		m.History.RecordAttempt(a.Zone, a.At)
@@ -59,31 +62,32 @@
 	return nil
 }
 
-func (r *recorder) RecordOutcome(_ context.Context, o store.Outcome) error {
+func (r *recordingStore) RecordOutcome(_ context.Context, o store.Outcome) error {
 	fmt.Fprintf(&r.calls, "outcome message=%d outcome=%d endpoint=%q at=%s over=%t\n", o.Message.Seq, o.Outcome, o.Endpoint, o.At.UTC().Format(time.RFC3339Nano), o.CompletesUndelivered)
 	return nil
 }
 
-func (r *recorder) Complete(_ context.Context, completions ...store.Completion) error {
-	for _, e := range completions {
-		fmt.Fprintf(&r.calls, "end message=%d kind=%d retry=%v implied=%t\n", e.Message.Seq, e.Response.Kind, e.Response.RetryAfter, e.Response.Implied)
-		e.Message.FinalResponse = &e.Response
+func (r *recordingStore) Complete(_ context.Context, completions ...store.Completion) error {
+	for _, c := range completions {
+		fmt.Fprintf(&r.calls, "end message=%d kind=%d retry=%v implied=%t\n", c.Message.Seq, c.Response.Kind, c.Response.RetryAfter, c.Response.Implied)
+		c.Message.FinalResponse = &c.Response
 	}
 	return nil
 }
 
-func (r *recorder) Close() error { return nil }
+func (r *recordingStore) Close() error { return nil }
 
-// goldenMessages returns messages numbered as by stores: the second as by a store that nodes share.
+// goldenMessages returns messages with sequence numbers as stores assign them. The second number is one of a store that
+// several nodes share.
 func goldenMessages() []*message.Message {
 	return []*message.Message{{Seq: 1, ID: "a"}, {Seq: 3<<32 + 7, ID: "b"}, {Seq: 3, ID: "c"}, {Seq: 4, ID: "d"}}
 }
 
-// The bytes of the log are those of earlier versions.
-func TestGoldenWrite(t *testing.T) {
+// The log's bytes must equal those that earlier versions wrote.
+func TestLogBytesEqualGoldenLog(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "intents")
 	synctest.Test(t, func(t *testing.T) {
-		s, err := Open(ctx, Config{Path: path, MaxBytes: 1 << 20, StoreTimeout: -1}, firstBarrier{unavailable{}, new(atomic.Int64)}, &store.Recovered{}, testkit.QuietLog())
+		s, err := Open(ctx, Config{Path: path, MaxBytes: 1 << 20, StoreTimeout: -1}, firstBarrierStore{unavailableStore{}, new(atomic.Int64)}, &store.Recovered{}, testkit.QuietLog())
 		testkit.Must(t, err)
 		ms := goldenMessages()
 		at := goldenStart
@@ -94,7 +98,7 @@
 			store.Completion{Message: ms[1], Response: message.FinalResponse{Kind: message.Failed}},
 			store.Completion{Message: ms[3], Response: message.FinalResponse{Kind: message.Rejected, RetryAfter: 2500 * time.Millisecond}}))
 		if err := s.Close(); err == nil {
-			t.Error("a store that writes nothing was closed without an error")
+			t.Error("Close of an unavailable store: got nil, want an error")
 		}
 	})
 	data, err := os.ReadFile(path)
@@ -102,24 +106,24 @@
 	testkit.Golden(t, goldenLog, data)
 }
 
-// firstBarrier is a store whose first barrier, of an empty log, succeeds.
-type firstBarrier struct {
+// firstBarrierStore is a store whose first barrier, that of Open with an empty log, succeeds.
+type firstBarrierStore struct {
 	store.Store
 	barriers *atomic.Int64
 }
 
-func (f firstBarrier) Complete(ctx context.Context, completions ...store.Completion) error {
+func (f firstBarrierStore) Complete(ctx context.Context, completions ...store.Completion) error {
 	if f.barriers.Add(1) == 1 && len(completions) == 0 {
 		return nil
 	}
 	return f.Store.Complete(ctx, completions...)
 }
 
-// A log of an earlier version is replayed into the store with every field unchanged.
-func TestGoldenRead(t *testing.T) {
+// A log that an earlier version wrote is replayed into the store with every field unchanged.
+func TestGoldenLogIsReplayedUnchanged(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "intents")
 	testkit.CopyGolden(t, goldenLog, path)
-	inner := &recorder{}
+	inner := &recordingStore{}
 	r := store.Recovered{Pending: goldenMessages()}
 	s, err := Open(ctx, Config{Path: path, MaxBytes: 1 << 20, StoreTimeout: -1}, inner, &r, testkit.QuietLog())
 	testkit.Must(t, err)
--- a/internal/store/intents/intents.go
+++ b/internal/store/intents/intents.go
@@ -1,15 +1,15 @@
-// Package intents keeps a node in service while its store of record is slow, locked or unavailable, by a bounded local log
-// beside the store. What must be durable before the node acts is written to the log if the store does not write it in time.
-// The store writes it, once, when it is available again.
+// Package intents adds a bounded local intent log to a store of record, so that a node continues to deliver while the
+// store is slow, locked or unavailable. A record that must be durable before the node acts on it is written to the log if
+// the store does not persist it in time. The store persists the record, once, when it is available again.
 //
-// Only one node may own the messages of such a store, because no other node reads the log. New messages never go to the
-// log. The log survives a crash of the process, and one of the machine if Config.Sync is set. It is empty whenever the store
-// has persisted everything.
+// Only one node may own the messages of such a store, because no other node reads the log. New messages are never written
+// to the log. The log survives a crash of the process; it survives a crash of the machine only if Config.Sync is set. The
+// log is emptied as soon as the store has persisted all records.
 //
 // # Concurrency
 //
-// A [Store] is safe for concurrent use; its mutex guards the log. While the log is not empty one goroutine waits for the
-// store to catch up; Close ends it.
+// A [Store] is safe for concurrent use; its mutex guards the log. While the log is not empty, one goroutine waits until the
+// store has persisted all records; Close ends it.
 //
 // Start reading at [Store.RecordAttempt]; spill.go writes the log, and replay.go reads it when the node starts.
 package intents
@@ -30,45 +30,46 @@
 
 // Config configures the log.
 type Config struct {
-	Path string // of the file
-	// MaxBytes bounds the file. Once it is full, calls that need the log fail as the store does. A record has up to 40 bytes
-	// and the name of an endpoint.
+	Path string // of the log file
+	// MaxBytes bounds the file. While it is full, calls that need the log return the store's error. A record has up to 40
+	// bytes and the name of an endpoint.
 	MaxBytes int64
-	// StoreTimeout is how long the store may take before the log is used. If it is negative, the log is used at once.
+	// StoreTimeout is how long a call waits for the store before it uses the log. If it is negative, calls use the log
+	// immediately.
 	StoreTimeout time.Duration
 	// Sync syncs each write, so that the log survives a crash of the machine.
 	Sync bool
 }
 
-// Failure points of tests.
+// Failpoints.
 var (
 	atWritten  = failpoint.New("store/intents/after-write")
 	atTruncate = failpoint.New("store/intents/before-truncate")
 	atReplay   = failpoint.New("store/intents/during-replay")
 )
 
-// Store is a store with a log beside it.
+// Store is a store of record with an intent log.
 type Store struct {
 	store.Store // the methods that are not overridden never use the log
 	cfg         Config
 	log         *slog.Logger
-	expired     context.Context // has ended
-	stop        context.CancelFunc
-	closing     context.Context // ends with Close
+	expired     context.Context    // already cancelled, for calls that only queue
+	stop        context.CancelFunc // cancels closing
+	closing     context.Context    // cancelled by Close
 
-	mu         sync.Mutex // guards all below
+	mu         sync.Mutex // guards all fields below
 	file       *os.File
-	size       int64 // of the file, in bytes
-	catchingUp bool  // the log has records that the store may lack, and a goroutine waits for the store
-	background sync.WaitGroup
+	size       int64          // of the file, in bytes
+	catchingUp bool           // the log may contain records that the store lacks, and waitForStore runs
+	background sync.WaitGroup // of waitForStore
 }
 
-// Open puts a log beside a store that was just opened, and replays into the store the log of an earlier process. It updates
-// the recovered messages accordingly.
+// Open adds a log to a store that was just opened. It first replays the log of an earlier process into the store, and
+// updates the recovered messages accordingly.
 func Open(ctx context.Context, c Config, inner store.Store, r *store.Recovered, log *slog.Logger) (*Store, error) {
 	f, err := os.OpenFile(c.Path, os.O_RDWR|os.O_CREATE, 0o600)
 	if err != nil {
-		return nil, fmt.Errorf("opening the log of intents: %w", err)
+		return nil, fmt.Errorf("opening the intent log: %w", err)
 	}
 	s := &Store{Store: inner, cfg: c, log: log, file: f}
 	expired, cancel := context.WithCancel(context.Background())
@@ -76,13 +77,14 @@
 	s.expired = expired
 	s.closing, s.stop = context.WithCancel(context.Background())
 	if err := s.replay(ctx, r); err != nil {
-		return nil, errors.Join(fmt.Errorf("replaying the log of intents %s: %w", c.Path, err), f.Close())
+		return nil, errors.Join(fmt.Errorf("replaying the intent log %s: %w", c.Path, err), f.Close())
 	}
 	return s, nil
 }
 
-// storeContext returns the context of a call of the store. It ends after the store's timeout, or has ended already if the
-// store is known to be behind: then the call is only queued.
+// storeContext returns the context for a call of the inner store. It expires after Config.StoreTimeout. If the store has
+// records to catch up on, or the timeout is negative, the context is already cancelled: then the call only queues its
+// record.
 func (s *Store) storeContext(ctx context.Context) (context.Context, context.CancelFunc) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -92,22 +94,23 @@
 	return context.WithTimeout(ctx, s.cfg.StoreTimeout)
 }
 
-// OnLate implements [store.Late], if the store does.
+// OnLate implements [store.Late] if the inner store does.
 func (s *Store) OnLate(f func(*message.Message)) {
 	if l, ok := s.Store.(store.Late); ok {
 		l.OnLate(f)
 	}
 }
 
-// Find implements [store.Finder], if the store does.
+// Find implements [store.Finder] if the inner store does.
 func (s *Store) Find(ctx context.Context, id string) error {
 	if f, ok := s.Store.(store.Finder); ok {
 		return f.Find(ctx, id)
 	}
-	return fmt.Errorf("%w: it can't be asked for an id", store.ErrUnavailable)
+	return fmt.Errorf("%w: the store does not support id lookups", store.ErrUnavailable)
 }
 
-// RecordAttempt implements [store.Store].
+// RecordAttempt implements [store.Store]. If the store is unavailable and the caller still waits, it writes the attempt to
+// the log.
 func (s *Store) RecordAttempt(ctx context.Context, a store.Attempt) error {
 	bounded, cancel := s.storeContext(ctx)
 	defer cancel()
@@ -122,7 +125,7 @@
 	return s.spill(err, intents)
 }
 
-// RecordOutcome implements [store.Store]. Only deliveries need the log: other outcomes need not be durable.
+// RecordOutcome implements [store.Store]. It writes only deliveries to the log, because other outcomes need not be durable.
 func (s *Store) RecordOutcome(ctx context.Context, o store.Outcome) error {
 	if o.Outcome != policy.Delivered {
 		return s.Store.RecordOutcome(ctx, o)
@@ -136,7 +139,7 @@
 	return s.spill(err, []intent{{kind: kindDelivered, seq: o.Message.Seq, at: o.At, endpoint: o.Endpoint}})
 }
 
-// Complete implements [store.Store].
+// Complete implements [store.Store]. If the store is unavailable, it writes the final responses to the log.
 func (s *Store) Complete(ctx context.Context, completions ...store.Completion) error {
 	bounded, cancel := s.storeContext(ctx)
 	defer cancel()
@@ -146,14 +149,15 @@
 	}
 	var intents []intent
 	for _, c := range completions {
-		if m := c.Message; m.FinalResponse != nil { // the first response, which may be of an earlier call
+		if m := c.Message; m.FinalResponse != nil { // the message's first response, possibly set by an earlier call
 			intents = append(intents, intent{kind: kindResponse, seq: m.Seq, response: *m.FinalResponse})
 		}
 	}
 	return s.spill(err, intents)
 }
 
-// Close implements [store.Store]. Records that the store can't write before it closes stay in the log.
+// Close implements [store.Store]. Records that the store can't persist before it closes remain in the log, and the next
+// Open replays them.
 func (s *Store) Close() error {
 	s.mu.Lock()
 	s.stop()
--- a/internal/store/intents/intents_test.go
+++ b/internal/store/intents/intents_test.go
@@ -25,6 +25,7 @@
 
 var ctx = context.Background()
 
+// open opens a SQLite store with an intent log of at most limit bytes in dir.
 func open(dir string, storeTimeout time.Duration, limit int64) (store.Store, store.Recovered, error) {
 	inner, r, err := sqlite.Open(sqlite.Config{Path: filepath.Join(dir, "wingmount.db"), Durability: sqlite.Process, ResponseRetention: time.Hour, NotifyDelivered: true}, testkit.QuietLog())
 	if err != nil {
@@ -37,8 +38,8 @@
 	return s, r, nil
 }
 
-// The complete suite, with a store that is always too slow: everything goes through the log, and after a crash the store
-// and the log together have what the contract promises.
+// TestConformance runs the complete suite with a negative StoreTimeout, so that every record that may use the log does.
+// After a crash, the store and its log together must contain everything that the contract of store.Store promises.
 func TestConformance(t *testing.T) {
 	storetest.Run(t, storetest.Suite{
 		Failpoints: "store/intents/", FailpointsElsewhere: []string{"store/intents/during-replay"}, RetainsResponses: true, NotifiesDelivered: true, Spills: true, Histories: 40,
@@ -46,8 +47,8 @@
 	})
 }
 
-// locked returns a store with n accepted messages, whose database another writer has locked.
-func locked(t *testing.T, dir string, n int, limit int64) (s store.Store, ms []*message.Message, unlock func()) {
+// openLocked returns a store with n accepted messages, whose database another writer has locked until unlock is called.
+func openLocked(t *testing.T, dir string, n int, limit int64) (s store.Store, ms []*message.Message, unlock func()) {
 	t.Helper()
 	s, _, err := open(dir, 20*time.Millisecond, limit)
 	testkit.Must(t, err)
@@ -66,7 +67,7 @@
 	}
 }
 
-// recordProgress records attempts, outcomes and completions of messages. On a locked store these go to the log.
+// recordProgress records attempts, outcomes and completions of messages. A locked store writes these to the log.
 func recordProgress(t *testing.T, s store.Store, ms []*message.Message) {
 	t.Helper()
 	at := time.Now()
@@ -85,7 +86,7 @@
 	}
 }
 
-// checkProgress checks what the next process recovers of recordProgress.
+// checkProgress checks that the next process has recovered the records of recordProgress.
 func checkProgress(t *testing.T, r store.Recovered, ms []*message.Message) {
 	t.Helper()
 	if len(r.Pending) != len(ms) {
@@ -98,20 +99,21 @@
 			kind = m.FinalResponse.Kind
 		}
 		if kind != want[0] || m.FinalResponse == nil && (m.History.Attempts != want[1] || !m.History.MayHaveRun || !m.History.CompletedMayHaveRun) {
-			t.Errorf("message %d: got response %v and %+v, want %v", i, kind, m.History, want)
+			t.Errorf("message %d: got response %v and history %+v, want response and attempts %v", i, kind, m.History, want)
 		}
 	}
 }
 
-// While the database is locked accepted messages are sent and completed without delay, and the store catches up once it is
-// unlocked. If the process is killed meanwhile, the next one recovers all from the log, and so does the one after it.
-func TestServiceContinuesWhileLocked(t *testing.T) {
+// While the database is locked, accepted messages are sent and completed without delay, and the store catches up once it is
+// unlocked. If the process is killed before that, the next process recovers all records from the log, and so does the
+// process after it.
+func TestLockedStoreRecordsToLogAndCatchesUp(t *testing.T) {
 	dir := t.TempDir()
-	s, ms, unlock := locked(t, dir, 40, 1<<20)
+	s, ms, unlock := openLocked(t, dir, 40, 1<<20)
 	start := time.Now()
 	recordProgress(t, s, ms)
 	if took := time.Since(start); took > 5*time.Second {
-		t.Errorf("got %v for %d messages on a locked database, want 5s at most", took, len(ms))
+		t.Errorf("recording %d messages on a locked database: took %v, want 5s at most", len(ms), took)
 	}
 	image := t.TempDir()
 	testkit.Must(t, storetest.Image(dir, image))
@@ -119,7 +121,7 @@
 	testkit.Must(t, s.Complete(ctx))
 	s.(*Store).background.Wait()
 	if info, err := os.Stat(filepath.Join(dir, "intents")); err != nil || info.Size() != 0 {
-		t.Errorf("the log after the store has caught up: got %d bytes, %v, want 0", info.Size(), err)
+		t.Errorf("log after the store caught up: got %d bytes, %v, want 0", info.Size(), err)
 	}
 	testkit.Must(t, s.Close())
 	for name, d := range map[string]string{"caught up": dir, "killed while locked": image} {
@@ -136,10 +138,10 @@
 	}
 }
 
-// A crash at each step of the replay loses and duplicates nothing.
-func TestKilledDuringReplay(t *testing.T) {
+// A crash at any step of the replay neither loses nor duplicates a record.
+func TestCrashDuringReplayKeepsEachRecordOnce(t *testing.T) {
 	dir := t.TempDir()
-	s, ms, unlock := locked(t, dir, 12, 1<<20)
+	s, ms, unlock := openLocked(t, dir, 12, 1<<20)
 	recordProgress(t, s, ms)
 	image := t.TempDir()
 	testkit.Must(t, storetest.Image(dir, image))
@@ -147,27 +149,27 @@
 	testkit.Must(t, s.Close())
 	for _, point := range []string{"store/intents/during-replay", "store/intents/before-truncate"} {
 		for nth := 1; ; nth++ {
-			work, crash := t.TempDir(), t.TempDir()
-			testkit.Must(t, storetest.Image(image, work))
+			replayDir, crashDir := t.TempDir(), t.TempDir()
+			testkit.Must(t, storetest.Image(image, replayDir))
 			passes := 0
-			disarm := arm(t, point, func() error {
+			disarm := setFailpoint(t, point, func() error {
 				if passes++; passes == nth {
-					return storetest.Image(work, crash)
+					return storetest.Image(replayDir, crashDir)
 				}
 				return nil
 			})
-			s, r, err := open(work, time.Second, 1<<20)
+			s, r, err := open(replayDir, time.Second, 1<<20)
 			testkit.Must(t, err)
 			checkProgress(t, r, ms)
 			disarm()
 			testkit.Must(t, s.Close())
 			if passes < nth {
 				if nth == 1 {
-					t.Errorf("failure point %s was never passed", point)
+					t.Errorf("failpoint %s was never reached", point)
 				}
 				break
 			}
-			s, r, err = open(crash, time.Second, 1<<20)
+			s, r, err = open(crashDir, time.Second, 1<<20)
 			testkit.Must(t, err)
 			checkProgress(t, r, ms)
 			testkit.Must(t, s.Close())
@@ -175,11 +177,12 @@
 	}
 }
 
-// A full log fails as the store does, and stays within its bound; the records in it are replayed.
-func TestFullLog(t *testing.T) {
+// While the log is full, calls return the store's error and the file does not exceed its bound. The records in the log are
+// still replayed.
+func TestFullLogReturnsStoreErrorAndIsReplayed(t *testing.T) {
 	dir := t.TempDir()
 	const limit = 400
-	s, ms, unlock := locked(t, dir, 40, limit)
+	s, ms, unlock := openLocked(t, dir, 40, limit)
 	done := 0
 	var err error
 	for _, m := range ms {
@@ -189,10 +192,10 @@
 		done++
 	}
 	if !errors.Is(err, store.ErrUnavailable) || done == 0 {
-		t.Errorf("got %d completions, then %v, want some and ErrUnavailable", done, err)
+		t.Errorf("got %d completions, then error %v, want at least 1, then ErrUnavailable", done, err)
 	}
 	if info, err := os.Stat(filepath.Join(dir, "intents")); err != nil || info.Size() > limit {
-		t.Errorf("log: got %d bytes, want %d at most; %v", info.Size(), limit, err)
+		t.Errorf("log: got %d bytes, %v, want %d bytes at most", info.Size(), err, limit)
 	}
 	image := t.TempDir()
 	testkit.Must(t, storetest.Image(dir, image))
@@ -212,39 +215,40 @@
 	testkit.Must(t, s.Close())
 }
 
-func TestRecords(t *testing.T) {
+// decode returns the intent that append encoded, and rejects a truncated or corrupted encoding.
+func TestDecodeReturnsIntentAndDetectsDamage(t *testing.T) {
 	want := intent{kind: kindResponse, seq: 7, attempts: 3, zone: 1, at: time.UnixMicro(1234567), endpoint: "e1", response: message.FinalResponse{Kind: message.Rejected, RetryAfter: time.Second}}
 	b := want.append(nil)
 	got, rest, ok := decode(append(b[:len(b):len(b)], 1, 2, 3))
 	if !ok || !reflect.DeepEqual(got, want) || len(rest) != 3 {
-		t.Errorf("got %+v, %v, %v, want %+v and 3 bytes", got, rest, ok, want)
+		t.Errorf("got %+v, rest %v, ok %v, want %+v and 3 remaining bytes", got, rest, ok, want)
 	}
 	for i := range b {
 		if _, _, ok := decode(b[:i]); ok {
-			t.Errorf("cut off at byte %d: decoded, want failure", i)
+			t.Errorf("truncated to %d bytes: decoded, want failure", i)
 		}
-		bad := append([]byte(nil), b...)
-		bad[i] ^= 1
-		if r, _, ok := decode(bad); ok {
-			t.Errorf("changed at byte %d: decoded as %+v, want failure", i, r)
+		corrupted := append([]byte(nil), b...)
+		corrupted[i] ^= 1
+		if got, _, ok := decode(corrupted); ok {
+			t.Errorf("byte %d corrupted: decoded as %+v, want failure", i, got)
 		}
 	}
 }
 
-// FuzzDecode checks that decode does not panic, and that an intent which it decodes can be encoded again.
+// FuzzDecode checks that decode does not panic, and that each intent it decodes can be encoded and decoded again.
 func FuzzDecode(f *testing.F) {
 	f.Add(intent{kind: kindAttempt, seq: 1, endpoint: "x"}.append(nil))
 	f.Fuzz(func(t *testing.T, data []byte) {
-		if r, rest, ok := decode(data); ok {
-			if _, _, again := decode(r.append(nil)); !again || len(rest) >= len(data) {
-				t.Errorf("%+v can't be decoded again", r)
+		if i, rest, ok := decode(data); ok {
+			if _, _, again := decode(i.append(nil)); !again || len(rest) >= len(data) {
+				t.Errorf("%+v: got %d of %d bytes remaining, decoded again: %v", i, len(rest), len(data), again)
 			}
 		}
 	})
 }
 
-// arm sets the hook of a failure point until disarm is called.
-func arm(t *testing.T, point string, hook func() error) (disarm func()) {
+// setFailpoint sets the hook of a failpoint until disarm is called.
+func setFailpoint(t *testing.T, point string, hook func() error) (disarm func()) {
 	t.Helper()
 	disarm, err := failpoint.Set(point, hook)
 	testkit.Must(t, err)
--- a/internal/store/intents/record.go
+++ b/internal/store/intents/record.go
@@ -8,28 +8,28 @@
 	"wingmount/policy"
 )
 
-// The kinds of intent. They are on disk and never change their meaning.
+// The kinds of intent. They are stored on disk, so their meaning must never change.
 const (
 	kindAttempt   = 1 // an attempt may be outstanding
-	kindDelivered = 2 // the last attempt was delivered
+	kindDelivered = 2 // the last attempt delivered the message
 	kindResponse  = 3 // the client may be notified of a final response
 )
 
 // numericFields is the number of fields of an intent that are stored as numbers.
 const numericFields = 6
 
-// intent is one record of the log: what the node does before the store has persisted it.
+// intent is one record of the log: an action that the node may take before the store has persisted the record of it.
 type intent struct {
 	kind     byte
 	seq      policy.MessageID
-	attempts int // kindAttempt: the message's attempts, this one included
+	attempts int // kindAttempt: number of the message's attempts, including this one
 	zone     int
 	at       time.Time // stored in microseconds
 	endpoint string
-	response message.FinalResponse // kindResponse
+	response message.FinalResponse // set for kindResponse
 }
 
-// append appends the frame of the intent to b.
+// append appends a frame with the encoded intent to b and returns the extended slice.
 func (i intent) append(b []byte) []byte {
 	payload := []byte{i.kind}
 	for _, v := range []uint64{
@@ -41,7 +41,8 @@
 	return frame.Append(b, append(payload, i.endpoint...))
 }
 
-// decode decodes the first intent of data. It reports false if there is no complete one.
+// decode decodes the first intent of data and returns the data after it. It returns false if data does not start with a
+// complete and valid intent.
 func decode(data []byte) (i intent, rest []byte, ok bool) {
 	payload, rest, err := frame.Next(data)
 	if err != nil || len(payload) == 0 {
--- a/internal/store/intents/replay.go
+++ b/internal/store/intents/replay.go
@@ -9,8 +9,8 @@
 	"wingmount/policy"
 )
 
-// replay writes to the store, in order, the intents of the log that the store lacks, and empties the log. It updates the
-// recovered messages.
+// replay writes the intents that the store lacks to the store, in the order of the log, and then empties the log. It
+// updates the recovered messages accordingly.
 func (s *Store) replay(ctx context.Context, r *store.Recovered) error {
 	data, err := os.ReadFile(s.cfg.Path)
 	if err != nil {
@@ -20,7 +20,7 @@
 	if err != nil {
 		return err
 	}
-	if err := s.Store.Complete(ctx); err != nil { // the barrier: all is durable before the log is emptied
+	if err := s.Store.Complete(ctx); err != nil { // barrier: all intents must be durable before the log is emptied
 		return err
 	}
 	pending := r.Pending[:0]
@@ -35,8 +35,9 @@
 	return s.truncate()
 }
 
-// replayIntents writes the intents in data to the store, up to the first that can't be read. It skips those that the store
-// has already: of completed messages, and of earlier attempts. It returns the messages that were delivered.
+// replayIntents writes the intents in data to the store, up to the first unreadable one. It skips intents that the store
+// already has: those of completed messages, and attempts that are on record. It returns the numbers of the messages for
+// which it replayed a delivery.
 func (s *Store) replayIntents(ctx context.Context, data []byte, pending []*message.Message) (delivered map[policy.MessageID]bool, err error) {
 	messages := map[policy.MessageID]*message.Message{}
 	for _, m := range pending {
@@ -47,7 +48,7 @@
 	for len(data) > 0 {
 		i, rest, ok := decode(data)
 		if !ok {
-			s.log.Warn("store: unreadable tail of the intent log ignored", "bytes", len(data))
+			s.log.Warn("store: ignoring unreadable tail of the intent log", "bytes", len(data))
 			break
 		}
 		data = rest
@@ -87,13 +88,13 @@
 	return atReplay.At()
 }
 
-// truncate empties the log.
+// truncate empties the log. It is called with the lock held, or before other goroutines use the store.
 func (s *Store) truncate() error {
 	if err := atTruncate.At(); err != nil {
 		return err
 	}
 	if err := s.file.Truncate(0); err != nil {
-		return fmt.Errorf("emptying the log of intents: %w", err)
+		return fmt.Errorf("truncating the intent log: %w", err)
 	}
 	s.size = 0
 	return nil
