--- a/internal/store/inspect.go
+++ b/internal/store/inspect.go
@@ -2,24 +2,26 @@
 
 import "context"
 
-// Inspector reads a store for operators, whether or not a node uses it meanwhile. It changes nothing.
+// Inspector reads a store for operators, even while a node uses the store. It does not change the store.
 type Inspector interface {
-	// Check reads the entire store and returns an error that lists its faults, or nil.
+	// Check reads the entire store. It returns an error that lists the faults found, or nil if there are none.
 	Check(ctx context.Context) error
-	// Stat counts the running messages, the pending responses and the retained ones.
+	// Stat returns statistics of the store, such as the numbers of running messages, pending responses and retained
+	// responses.
 	Stat(ctx context.Context) ([]Figure, error)
-	// Entries passes to a function what is on record of one message, or of all messages if id is empty, in the order in
-	// which they were accepted as far as that is on record. It stops at the function's first error and returns it.
-	Entries(ctx context.Context, id string, hand func(Entry) error) error
-	// Backup writes a copy of the store as of one moment to a path that does not exist yet. It returns an error if the
-	// store has better means of its own, and names them.
+	// Entries calls visit with the entry of the message with an id, or with the entries of all messages if id is empty. The
+	// entries are in the order in which their messages were accepted, as far as that order is on record. Entries stops at
+	// the first error of visit and returns it.
+	Entries(ctx context.Context, id string, visit func(Entry) error) error
+	// Backup writes a consistent snapshot of the store to a path that must not exist. A store whose database has better
+	// backup tools returns an error that names them.
 	Backup(ctx context.Context, to string) error
 	// Close releases the store.
 	Close() error
 }
 
-// Figure is one line of what an [Inspector] counts.
+// Figure is one named value of [Inspector.Stat].
 type Figure struct {
 	Name  string
-	Value any // a number, or a text as operators read it
+	Value any // a number, or text for operators
 }
--- a/internal/store/sqlite/bench_test.go
+++ b/internal/store/sqlite/bench_test.go
@@ -20,46 +20,46 @@
 	"github.com/ncruces/go-sqlite3"
 )
 
-// TestRates measures the figures of docs/operate/store.md. It is long and needs the machine to
-// itself:
+// TestMeasureStoreThroughput measures the figures of docs/operate/store.md. It takes long, and no other load may run on the
+// machine:
 //
-//	WINGMOUNT_MEASURE=1 go test -run TestRates -v ./internal/store/sqlite
+//	WINGMOUNT_MEASURE=1 go test -run TestMeasureStoreThroughput -v ./internal/store/sqlite
 //
-// WINGMOUNT_MEASURE_ROWS=10000000 sets the most final responses in the file. Figures are
-// messages a second, each with an accept, an attempt, a delivery and its notification.
-func TestRates(t *testing.T) {
+// WINGMOUNT_MEASURE_ROWS=10000000 sets the maximum number of final responses in the file. The rates are messages per
+// second, each with an accept, an attempt, a delivery and its notification.
+func TestMeasureStoreThroughput(t *testing.T) {
 	if os.Getenv("WINGMOUNT_MEASURE") == "" {
 		t.Skip("a measurement: set WINGMOUNT_MEASURE")
 	}
-	most := 1_000_000
+	maxRows := 1_000_000
 	if v := os.Getenv("WINGMOUNT_MEASURE_ROWS"); v != "" {
 		var err error
-		most, err = strconv.Atoi(v)
+		maxRows, err = strconv.Atoi(v)
 		testkit.Must(t, err)
 	}
 	const clients, rounds = 64, 5
 	for _, d := range []Durability{Power, Process} {
 		dir := t.TempDir()
 		c := Config{Path: filepath.Join(dir, "a.db"), Durability: d, ResponseRetention: time.Hour, NotifyDelivered: true}
-		var ours, raw, single []float64
-		for r := range rounds { // in turn, so that other load on the machine affects all
+		var grouped, raw, single []float64
+		for r := range rounds { // alternating, so that other load on the machine affects all three
 			s, _ := mustOpen(t, c)
-			ours = append(ours, storeRate(t, s, clients, 20_000, fmt.Sprint("a", r)))
+			grouped = append(grouped, storeRate(t, s, clients, 20_000, fmt.Sprint("a", r)))
 			testkit.Must(t, s.Close())
 			raw = append(raw, rawRate(t, filepath.Join(dir, "raw.db"), d, clients, 20_000, r))
 			single = append(single, rawRate(t, filepath.Join(dir, "single.db"), d, 1, 3_000, r))
 		}
-		a, b, one := median(ours), median(raw), median(single)
+		a, b, one := median(grouped), median(raw), median(single)
 		t.Logf("durability %d, %d clients: store %.0f/s, same rows raw in groups %.0f/s (ratio %.2f), one transaction a message %.0f/s (ratio %.1f)",
 			d, clients, a, b, a/b, one, a/one)
 	}
-	// Final responses in the file. New files are measured in turn with the full one.
+	// Measure with final responses in the file, alternating between new files and the full one.
 	dir := t.TempDir()
 	full := Config{Path: filepath.Join(dir, "full.db"), Durability: Power, ResponseRetention: 100 * time.Hour, NotifyDelivered: true, NoCheck: true}
-	have := 0
-	for _, rows := range []int{most / 10, most} {
-		fill(t, full, have, rows)
-		have = rows
+	filled := 0
+	for _, rows := range []int{maxRows / 10, maxRows} {
+		fill(t, full, filled, rows)
+		filled = rows
 		var with, without []float64
 		for r := range rounds {
 			empty := Config{Path: filepath.Join(dir, fmt.Sprint("empty", rows, r)), Durability: Power, ResponseRetention: 100 * time.Hour, NotifyDelivered: true}
@@ -72,10 +72,10 @@
 		}
 		info, err := os.Stat(full.Path)
 		testkit.Must(t, err)
-		t.Logf("%d ended rows (%d MB): %.0f/s against %.0f/s in an empty file (ratio %.2f)",
+		t.Logf("%d final responses (%d MB): %.0f/s, %.0f/s in an empty file (ratio %.2f)",
 			rows, info.Size()>>20, median(with), median(without), median(with)/median(without))
 	}
-	// Recovery.
+	// Measure recovery.
 	c := Config{Path: filepath.Join(dir, "owed.db"), Durability: Process}
 	s, _ := mustOpen(t, c)
 	parallel(clients, 100_000, func(i int) {
@@ -100,6 +100,7 @@
 	return slices.Sorted(slices.Values(v))[len(v)/2]
 }
 
+// parallel calls f with 0 to n-1 from several goroutines.
 func parallel(workers, n int, f func(i int)) {
 	var wg sync.WaitGroup
 	var next atomic.Int64
@@ -113,16 +114,17 @@
 	wg.Wait()
 }
 
-// spread returns an id that lands anywhere in an index, as clients' do.
-func spread(prefix string, i int) string {
+// scatteredID returns an id with a random position in an index, like the ids of clients.
+func scatteredID(prefix string, i int) string {
 	return fmt.Sprintf("%016x-%s-%d", uint64(i+1)*0x9e3779b97f4a7c15, prefix, i)
 }
 
+// storeRate returns the messages per second that a store processes for n messages of concurrent clients.
 func storeRate(t *testing.T, s store.Store, clients, n int, prefix string) float64 {
 	t.Helper()
 	start := time.Now()
 	parallel(clients, n, func(i int) {
-		m := storetest.NewMessage(spread(prefix, i), 500)
+		m := storetest.NewMessage(scatteredID(prefix, i), 500)
 		testkit.Must(t, s.Accept(ctx, m))
 		testkit.Must(t, s.RecordAttempt(ctx, store.Attempt{Endpoint: "e1", At: time.Now(), Messages: []*message.Message{m}}))
 		testkit.Must(t, s.RecordOutcome(ctx, store.Outcome{Message: m, Outcome: policy.Delivered, Endpoint: "e1", At: time.Now()}))
@@ -131,7 +133,8 @@
 	return float64(n) / time.Since(start).Seconds()
 }
 
-// rawRate writes the same rows by the same statements, in transactions of that many messages, without a store.
+// rawRate writes the same rows by the same statements without a store, in transactions of group messages, and returns the
+// messages per second.
 func rawRate(t *testing.T, path string, d Durability, group, n, round int) float64 {
 	t.Helper()
 	s, _ := mustOpen(t, Config{Path: path, Durability: d, ResponseRetention: time.Hour, NotifyDelivered: true})
@@ -156,7 +159,7 @@
 	}
 	for done := 0; done < n; done += group {
 		tx(func(seq int) {
-			testkit.Must(t, exec(st.accept, seq, spread("r", seq), "key", 1, 7, now, now, body))
+			testkit.Must(t, exec(st.accept, seq, scatteredID("r", seq), "key", 1, 7, now, now, body))
 		})
 		tx(func(seq int) {
 			testkit.Must(t, exec(st.call, "e1", now))
@@ -180,7 +183,7 @@
 	return float64(n) / took.Seconds()
 }
 
-// fill adds final responses to a file.
+// fill increases the number of final responses in a file from one number to another.
 func fill(t *testing.T, c Config, from, to int) {
 	t.Helper()
 	s, _ := mustOpen(t, c)
@@ -191,17 +194,17 @@
 	st, _, err := db.Prepare("INSERT INTO answer VALUES (?1, ?2, ?4, 2, 0, 7, 1, ?3, ?3, ?3)")
 	testkit.Must(t, err)
 	now := time.Now().UnixMicro()
-	last, err := number(db, "SELECT coalesce(max(seq), 0) FROM answer")
+	last, err := queryInt(db, "SELECT coalesce(max(seq), 0) FROM answer")
 	testkit.Must(t, err)
-	open, err := number(db, "SELECT coalesce(max(segment), 0) + 1 FROM answer")
+	openSegment, err := queryInt(db, "SELECT coalesce(max(segment), 0) + 1 FROM answer")
 	testkit.Must(t, err)
-	const slice = 100_000
+	const rowsPerTransaction = 100_000
 	for i := from; i < to; {
 		testkit.Must(t, db.Exec("BEGIN IMMEDIATE"))
-		for range min(slice, to-i) {
+		for range min(rowsPerTransaction, to-i) {
 			i++
 			seq := last + int64(i-from)
-			testkit.Must(t, exec(st, seq, spread("f", i), now, open+seq/maxSegmentResponses))
+			testkit.Must(t, exec(st, seq, scatteredID("f", i), now, openSegment+seq/maxSegmentResponses))
 		}
 		testkit.Must(t, db.Exec("COMMIT"))
 	}
--- a/internal/store/sqlite/find.go
+++ b/internal/store/sqlite/find.go
@@ -25,7 +25,7 @@
 	return results, nil
 }
 
-// isUnfinished reports whether a message without a final response has the id.
+// isUnfinished reports whether an unfinished message has the id.
 func (s *backend) isUnfinished(id string) (bool, error) {
 	st := s.st.findUnfinished
 	if err := bind(st, id); err != nil {
--- a/internal/store/sqlite/golden_test.go
+++ b/internal/store/sqlite/golden_test.go
@@ -12,8 +12,8 @@
 	"github.com/ncruces/go-sqlite3"
 )
 
-// goldenFile is a database that an earlier version wrote, without a WAL. Its bytes depend on SQLite too, so only its
-// content is compared when it is written again.
+// goldenFile is a database that an earlier version wrote, without a WAL. Its bytes also depend on the version of SQLite, so
+// the test that writes it compares only its content.
 const goldenFile = "golden/wingmount.db"
 
 func goldenConfig(dir string) Config {
@@ -23,8 +23,8 @@
 	}
 }
 
-// The store writes the schema and the rows that it always wrote.
-func TestGoldenWrite(t *testing.T) {
+// The store writes the same schema and rows as earlier versions.
+func TestWrittenDatabaseEqualsGolden(t *testing.T) {
 	c := goldenConfig(t.TempDir())
 	setSeed(t, c)
 	synctest.Test(t, func(t *testing.T) {
@@ -34,7 +34,7 @@
 		testkit.Must(t, s.Close())
 	})
 	testkit.Must(t, checkpoint(c))
-	// How many transactions were made of the calls is not fixed.
+	// The number of transactions depends on the grouping of the calls, so it is not compared.
 	testkit.Golden(t, "database.sql", []byte(storetest.DatabaseText(t, c.Path, "meta.commits")))
 	if testkit.UpdatesGolden() {
 		data, err := os.ReadFile(c.Path)
@@ -43,7 +43,7 @@
 	}
 }
 
-// setSeed makes a new file whose hashes of ids are the same in every run.
+// setSeed creates a file with a fixed seed, so that the hashes of ids are the same in every run.
 func setSeed(t *testing.T, c Config) {
 	t.Helper()
 	s, _ := mustOpen(t, c)
@@ -54,8 +54,8 @@
 	testkit.Must(t, db.Close())
 }
 
-// A database that an earlier version wrote is read with every field as it was.
-func TestGoldenRead(t *testing.T) {
+// A database that an earlier version wrote is read with every field unchanged.
+func TestGoldenDatabaseIsReadUnchanged(t *testing.T) {
 	c := goldenConfig(t.TempDir())
 	testkit.CopyGolden(t, goldenFile, c.Path)
 	i, err := Inspect(c.Path)
--- a/internal/store/sqlite/ids.go
+++ b/internal/store/sqlite/ids.go
@@ -13,25 +13,26 @@
 	"github.com/ncruces/go-sqlite3"
 )
 
-// Each Accept looks up whether its id has a final response on record. An index of ids in the file would write one random
-// page of a large tree for each response. So responses are stored in the order of their numbers, in segments, and ids are
-// found in memory: those of the open segment in a hash table, those of sealed segments by a Bloom filter. If the filter
-// matches, one row of the table bucket has the numbers, and the id of the response is compared.
+// Each Accept checks whether its id already has a final response on record. An index of ids in the file would write one
+// random page of a large tree for each response. Responses are therefore stored in segments, in the order of their sequence
+// numbers, and their ids are looked up in memory: ids of the open segment in a hash table, and ids of sealed segments in a
+// Bloom filter. If a filter matches, one row of the table bucket contains the sequence numbers for the hash, and the ids of
+// their responses are compared.
 
 const (
-	// maxSegmentResponses is how many responses a segment has. Each uses 2 bytes of memory in a sealed segment, and about 40
-	// in the open one.
+	// maxSegmentResponses is the number of responses in a segment. A response uses 2 bytes of memory in a sealed segment, and
+	// about 40 bytes in the open one.
 	maxSegmentResponses = 1 << 16
-	// bucketBits is how many leading bits of a hash are the number of its bucket: the expected 32 entries of 16 bytes
-	// are well within a page.
+	// bucketBits is the number of leading bits of a hash that select its bucket. A bucket of a full segment is expected to
+	// have 32 entries of 16 bytes, which is well below the size of a page.
 	bucketBits = 11
+	// entryBytes is the size of an encoded entry: its hash and its sequence number, 8 bytes each.
 	entryBytes = 16
 )
 
-// duringSeal is a failpoint.
 var duringSeal = failpoint.New("store/sqlite/during-seal")
 
-// entry is a final response by the hash of its id.
+// entry identifies a final response by the hash of its id and its sequence number.
 type entry struct {
 	hash uint64
 	seq  int64
@@ -40,26 +41,26 @@
 // segment is a sealed segment of final responses.
 type segment struct {
 	n        int64
-	retained int64 // its answers that are on record still
+	retained int64 // number of its responses that are still on record
 	column   column
 }
 
-// idIndex finds the ids of all final responses on record. It belongs to the goroutine of the queue.
+// idIndex finds final responses on record by the hash of their ids. Only the queue's writer goroutine uses it.
 type idIndex struct {
-	segmentSize int       // answers of a segment
-	seed        uint64    // of the file, so that nobody outside can make ids that collide
-	openSegment int64     // the segment that is being filled
-	recent      hashTable // its answers
-	uncommitted hashTable // of the transaction that runs
+	segmentSize int       // number of responses in a full segment
+	seed        uint64    // of the hash, random for each file, so that clients can't choose ids that collide
+	openSegment int64     // number of the open segment
+	recent      hashTable // responses of the open segment
+	uncommitted hashTable // responses of the transaction in progress
 	sealed      []segment
-	filter      signatures // of the sealed
-	candidates  []uint64   // what the filter said last
+	filter      signatures // of the sealed segments
+	candidates  []uint64   // reused buffer for the results of filter.find
 }
 
-// hashTable finds entries by their hash, also those whose hashes collide.
+// hashTable finds entries by their hash. Several entries may have the same hash.
 type hashTable struct {
 	first map[uint64]int64
-	more  []entry // of hashes that are in first already
+	more  []entry // further entries of hashes that are in first
 }
 
 func (t *hashTable) add(e entry) {
@@ -73,7 +74,7 @@
 	t.first[e.hash] = e.seq
 }
 
-// remove removes an entry, if it is there.
+// remove removes an entry if the table contains it.
 func (t *hashTable) remove(e entry) {
 	if seq, ok := t.first[e.hash]; ok && seq == e.seq {
 		delete(t.first, e.hash)
@@ -89,7 +90,7 @@
 	t.more = slices.DeleteFunc(t.more, func(m entry) bool { return m == e })
 }
 
-// find appends the numbers of the entries with a hash.
+// find appends the sequence numbers of the entries with a hash, and returns the extended slice.
 func (t *hashTable) find(hash uint64, to []int64) []int64 {
 	if seq, ok := t.first[hash]; ok {
 		to = append(to, seq)
@@ -118,9 +119,10 @@
 	return d.Sum64()
 }
 
-// begin drops the ids that a failed transaction has added; commit keeps those of a committed one.
+// begin is called before each transaction. It discards the ids that a failed transaction has added.
 func (x *idIndex) begin() { x.uncommitted = hashTable{} }
 
+// commit is called after each committed transaction. It moves the ids that the transaction has added to the open segment.
 func (x *idIndex) commit() {
 	for _, e := range x.uncommitted.entries() {
 		x.recent.add(e)
@@ -128,26 +130,26 @@
 	x.uncommitted = hashTable{}
 }
 
-// loadIDs reads the segments of a file, and seals those that a migration has left open.
+// loadIDs reads the segments of a file, and seals full segments that a migration has left unsealed.
 func (s *backend) loadIDs() error {
-	seed, err := number(s.conn, "SELECT seed FROM meta")
+	seed, err := queryInt(s.conn, "SELECT seed FROM meta")
 	if err != nil {
 		return err
 	}
 	x := &s.ids
 	x.segmentSize, x.seed, x.openSegment = cmp.Or(s.cfg.segment, maxSegmentResponses), uint64(seed), 0
 	x.filter = newSignatures(x.segmentSize)
-	from := int64(0)
-	if err := s.rows("SELECT n, kept, next FROM segment ORDER BY n", func(st *sqlite3.Stmt) {
+	firstUnsealed := int64(0)
+	if err := s.forEachRow("SELECT n, kept, next FROM segment ORDER BY n", func(st *sqlite3.Stmt) {
 		x.sealed = append(x.sealed, segment{n: st.ColumnInt64(0), retained: st.ColumnInt64(1)})
-		from = st.ColumnInt64(2)
+		firstUnsealed = st.ColumnInt64(2)
 	}); err != nil {
 		return err
 	}
 	for i := range x.sealed {
 		g := &x.sealed[i]
 		var hashes []uint64
-		if err := s.rows(fmt.Sprintf("SELECT entries FROM bucket WHERE segment = %d", g.n), func(st *sqlite3.Stmt) {
+		if err := s.forEachRow(fmt.Sprintf("SELECT entries FROM bucket WHERE segment = %d", g.n), func(st *sqlite3.Stmt) {
 			for b := st.ColumnRawBlob(0); len(b) >= entryBytes; b = b[entryBytes:] {
 				hashes = append(hashes, binary.LittleEndian.Uint64(b))
 			}
@@ -157,13 +159,14 @@
 		g.column = x.filter.add(hashes)
 		x.openSegment = g.n + 1
 	}
-	// What is not sealed. Segments of a migration follow each other in the order of numbers.
+	// Read the responses that are not in a sealed segment. Segments that a migration has created are in the order of their
+	// sequence numbers.
 	st, _, err := s.conn.Prepare("SELECT seq, id, segment FROM answer WHERE seq >= ?1 AND segment >= ?2 ORDER BY seq")
 	if err != nil {
 		return err
 	}
 	defer func() { _ = st.Close() }()
-	if err := bind(st, from, x.openSegment); err != nil {
+	if err := bind(st, firstUnsealed, x.openSegment); err != nil {
 		return err
 	}
 	for st.Step() {
@@ -180,8 +183,8 @@
 	return st.Err()
 }
 
-// seal writes the open segment in a transaction of its own, and opens the next. Later responses have the number next or
-// a higher one.
+// seal writes the buckets of the open segment in a separate transaction, and opens the next segment. No response that is
+// recorded later has a sequence number below next.
 func (s *backend) seal(next int64) (err error) {
 	x := &s.ids
 	all := x.recent.entries()
@@ -224,14 +227,14 @@
 	return nil
 }
 
-// findResponse returns the final response of an id, and nil if none is on record.
+// findResponse returns the final response of an id, or nil if none is on record.
 func (s *backend) findResponse(id string) (*message.FinalResponse, error) {
 	seqs, err := s.seqsWithHash(s.ids.hash(id))
 	if err != nil {
 		return nil, err
 	}
 	for _, seq := range seqs {
-		response, err := s.responseOf(seq, id)
+		response, err := s.responseBySeq(seq, id)
 		if err != nil || response != nil {
 			return response, err
 		}
@@ -239,7 +242,7 @@
 	return nil, nil
 }
 
-// seqsWithHash returns the numbers of the responses whose ids have a hash.
+// seqsWithHash returns the sequence numbers of the responses whose ids have a hash.
 func (s *backend) seqsWithHash(h uint64) ([]int64, error) {
 	x := &s.ids
 	seqs := x.recent.find(h, x.uncommitted.find(h, nil))
@@ -248,7 +251,7 @@
 		if x.candidates[g.column.block]&(1<<g.column.bit) == 0 {
 			continue
 		}
-		st := s.st.inBucket
+		st := s.st.bucketEntries
 		if err := bind(st, g.n, int64(h>>(64-bucketBits))); err != nil {
 			return nil, err
 		}
@@ -266,8 +269,8 @@
 	return seqs, nil
 }
 
-// responseOf returns the final response of a message, and nil if there is none or it has another id.
-func (s *backend) responseOf(seq int64, id string) (*message.FinalResponse, error) {
+// responseBySeq returns the final response with a sequence number. It returns nil if there is none or its id is another one.
+func (s *backend) responseBySeq(seq int64, id string) (*message.FinalResponse, error) {
 	st := s.st.findResponse
 	if err := bind(st, seq); err != nil {
 		return nil, err
@@ -279,17 +282,17 @@
 	return response, st.Reset()
 }
 
-// expiredResponse is a final response that a sweep deletes.
+// expiredResponse is a final response whose retention has ended, to be deleted by a sweep.
 type expiredResponse struct {
 	seq, segment int64
 	hash         uint64
 }
 
-// deleteResponses deletes responses in the transaction, and the segments that have none left. The caller calls the
-// returned function once the transaction is committed.
-func (s *backend) deleteResponses(expired []expiredResponse) (done func(), err error) {
+// deleteResponses deletes responses, and segments without remaining responses, in the current transaction. The caller must
+// call applyDeletions, which updates the index in memory, after the transaction is committed.
+func (s *backend) deleteResponses(expired []expiredResponse) (applyDeletions func(), err error) {
 	x := &s.ids
-	deleted := map[int64]int64{} // by segment
+	deleted := map[int64]int64{} // number of responses by segment
 	for _, o := range expired {
 		if err := exec(s.st.deleteResponse, o.seq); err != nil {
 			return nil, err
@@ -325,7 +328,7 @@
 	}, nil
 }
 
-// add adds the id of a message whose response the transaction records.
+// add adds the id of a message whose final response is recorded by the current transaction.
 func (x *idIndex) add(id string, seq policy.MessageID) {
 	x.uncommitted.add(entry{x.hash(id), int64(seq)})
 }
--- a/internal/store/sqlite/ids_test.go
+++ b/internal/store/sqlite/ids_test.go
@@ -17,8 +17,8 @@
 	"pgregory.net/rapid"
 )
 
-// A hashTable finds the same entries as a list, also if hashes collide.
-func TestTableOfIDs(t *testing.T) {
+// A hashTable finds the same entries as a list, even if hashes collide.
+func TestHashTableFindsSameEntriesAsList(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var x hashTable
 		var list []entry
@@ -27,7 +27,7 @@
 			if len(list) > 0 && rapid.Bool().Draw(t, "remove") {
 				k := rapid.IntRange(0, len(list)-1).Draw(t, "which")
 				x.remove(list[k])
-				x.remove(entry{list[k].hash, -1}) // is not there
+				x.remove(entry{list[k].hash, -1}) // not in the table
 				list = append(list[:k:k], list[k+1:]...)
 			} else {
 				x.add(entry{h, int64(i)})
@@ -42,19 +42,19 @@
 			got := x.find(h, nil)
 			for _, seq := range got {
 				if !want[seq] {
-					t.Fatalf("found %d of hash %d", seq, h)
+					t.Fatalf("hash %d: found removed or unknown seq %d", h, seq)
 				}
 			}
 			if len(got) != len(want) || x.len() != len(list) || len(x.entries()) != len(list) {
-				t.Fatalf("found %v of hash %d, want %v; %d in all, want %d", got, h, want, x.len(), len(list))
+				t.Fatalf("hash %d: found %v, want %v; got %d entries in total, want %d", h, got, want, x.len(), len(list))
 			}
 		}
 	})
 }
 
-// Ids are duplicates through many segments, restarts and sweeps for exactly as long as their responses are on record, and
-// are new afterwards; also if all their hashes collide.
-func TestIDsThroughSegments(t *testing.T) {
+// Across many segments, restarts and sweeps, an id is a duplicate for exactly as long as its response is on record, and new
+// afterwards.
+func TestIDIsDuplicateWhileResponseIsOnRecord(t *testing.T) {
 	c := config(t.TempDir())
 	c.segment = 16
 	const n = 500
@@ -66,27 +66,27 @@
 	parallel(16, n, func(i int) {
 		testkit.Must(t, s.Accept(ctx, ms[i]))
 		testkit.Must(t, s.Complete(ctx, store.Completion{Message: ms[i], Response: message.FinalResponse{Kind: message.Rejected, RetryAfter: time.Duration(i) * time.Millisecond}}))
-		if i%10 != 0 { // the others stay pending
+		if i%10 != 0 { // the other responses remain pending
 			testkit.Must(t, s.MarkNotified(ctx, ms[i]))
 		}
 	})
-	known := func(s store.Store, i int) bool {
-		var k *store.DuplicateError
+	isDuplicate := func(s store.Store, i int) bool {
+		var duplicate *store.DuplicateError
 		err := s.Accept(ctx, storetest.NewMessage(ms[i].ID, 0))
 		switch {
 		case err == nil:
 			return false
-		case !errors.As(err, &k):
+		case !errors.As(err, &duplicate):
 			t.Fatal(err)
-		case k.Response == nil || k.Response.RetryAfter != time.Duration(i)*time.Millisecond:
-			t.Fatalf("%s is known as %+v", ms[i].ID, k.Response)
+		case duplicate.Response == nil || duplicate.Response.RetryAfter != time.Duration(i)*time.Millisecond:
+			t.Fatalf("%s: got response %+v, want one with a retry after %d ms", ms[i].ID, duplicate.Response, i)
 		}
 		return true
 	}
 	for restart := range 3 {
 		for i := range ms {
-			if !known(s, i) {
-				t.Fatalf("%s is not known after %d restarts", ms[i].ID, restart)
+			if !isDuplicate(s, i) {
+				t.Fatalf("%s after %d restarts: accepted, want it rejected as a duplicate", ms[i].ID, restart)
 			}
 		}
 		testkit.Must(t, s.Close())
@@ -95,34 +95,35 @@
 	testkit.Must(t, s.Close())
 	db, err := sqlite3.Open("file:" + c.Path)
 	testkit.Must(t, err)
-	count := func(of string) int64 {
+	count := func(table string) int64 {
 		t.Helper()
-		v, err := number(db, "SELECT count(*) FROM "+of)
+		v, err := queryInt(db, "SELECT count(*) FROM "+table)
 		testkit.Must(t, err)
 		return v
 	}
 	if segments := count("segment"); segments < n/16/2 {
-		t.Errorf("%d segments", segments)
+		t.Errorf("sealed segments: got %d, want %d or more", segments, n/16/2)
 	}
 	c.ResponseRetention = 0
 	s, _ = mustOpen(t, c)
-	testkit.Eventually(t, "that notified responses are deleted", func() bool { return count("answer") == n/10 })
+	testkit.Eventually(t, "notified responses deleted", func() bool { return count("answer") == n/10 })
 	for i := range ms {
-		if known(s, i) != (i%10 == 0) {
-			t.Errorf("%s: known %v", ms[i].ID, i%10 != 0)
+		if isDuplicate(s, i) != (i%10 == 0) {
+			t.Errorf("%s: got duplicate %v, want %v", ms[i].ID, i%10 != 0, i%10 == 0)
 		}
 	}
 	for i := 0; i < n; i += 10 {
 		testkit.Must(t, s.MarkNotified(ctx, ms[i]))
 	}
-	testkit.Eventually(t, "that all responses are deleted", func() bool { return count("answer") == 0 })
-	testkit.Eventually(t, "that their segments are deleted", func() bool { return count("segment") == 0 && count("bucket") == 0 })
+	testkit.Eventually(t, "all responses deleted", func() bool { return count("answer") == 0 })
+	testkit.Eventually(t, "their segments deleted", func() bool { return count("segment") == 0 && count("bucket") == 0 })
 	testkit.Must(t, s.Close())
 	testkit.Must(t, db.Close())
 }
 
-// The ids in a file of the schema before are found.
-func TestIDsOfAnOlderFile(t *testing.T) {
+// After a file with the schema version before segments is migrated, the ids in it are found. It contains more responses than
+// one segment.
+func TestIDsOfMigratedFileAreFound(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "old.db")
 	db, err := sqlite3.Open("file:" + path)
 	testkit.Must(t, err)
@@ -136,25 +137,25 @@
 	for range 2 {
 		s, r := mustOpen(t, Config{Path: path, Durability: Process, ResponseRetention: 1000000 * time.Hour, NotifyDelivered: true})
 		if len(r.Pending) != n/1000 {
-			t.Errorf("%d owed, want %d", len(r.Pending), n/1000)
+			t.Errorf("pending messages: got %d, want %d", len(r.Pending), n/1000)
 		}
 		for _, i := range []int{1, 2, maxSegmentResponses - 1, maxSegmentResponses, maxSegmentResponses + 1, n} {
-			var k *store.DuplicateError
-			if err := s.Accept(ctx, storetest.NewMessage(fmt.Sprint("id", i), 0)); !errors.As(err, &k) || k.Response == nil || k.Response.RetryAfter != time.Duration(i)*time.Millisecond {
-				t.Errorf("id%d: %v", i, err)
+			var duplicate *store.DuplicateError
+			if err := s.Accept(ctx, storetest.NewMessage(fmt.Sprint("id", i), 0)); !errors.As(err, &duplicate) || duplicate.Response == nil || duplicate.Response.RetryAfter != time.Duration(i)*time.Millisecond {
+				t.Errorf("id%d: got %v, want a duplicate with a retry after %d ms", i, err, i)
 			}
 		}
 		testkit.Must(t, s.Close())
 	}
 }
 
-// No filter misses an id of its segment, while segments are added and removed, and few match other ids.
-func TestSignatures(t *testing.T) {
+// While segments are added and removed, no filter misses an id of its segment, and few filters match other ids.
+func TestSignaturesMissNoIDAndMatchFewOthers(t *testing.T) {
 	const size = 200
 	x := newSignatures(size)
 	rng := rand.New(rand.NewPCG(1, 2))
 	live := map[column][]uint64{}
-	wrong, asked := 0, 0
+	falsePositives, lookups := 0, 0
 	for step := range 400 {
 		if step%3 == 2 || len(live) > 150 {
 			for c := range live {
@@ -169,30 +170,30 @@
 			}
 			c := x.add(hashes)
 			if live[c] != nil {
-				t.Fatalf("column %v was given twice", c)
+				t.Fatalf("column %v was assigned twice", c)
 			}
 			live[c] = hashes
 		}
 		for c, hashes := range live {
-			if may := x.find(hashes[step%size], nil); may[c.block]&(1<<c.bit) == 0 {
-				t.Fatalf("step %d: a hash of %v is not found", step, c)
+			if matches := x.find(hashes[step%size], nil); matches[c.block]&(1<<c.bit) == 0 {
+				t.Fatalf("step %d: a hash of column %v was not found", step, c)
 			}
 		}
-		for _, may := range x.find(rng.Uint64(), nil) {
-			wrong += bits.OnesCount64(may)
+		for _, matches := range x.find(rng.Uint64(), nil) {
+			falsePositives += bits.OnesCount64(matches)
 		}
-		asked += len(live)
+		lookups += len(live)
 	}
-	if len(live) < 65 || asked < 10_000 {
-		t.Fatalf("%d segments were there, and %d asked for", len(live), asked)
+	if len(live) < 65 || lookups < 10_000 {
+		t.Fatalf("got %d live segments and %d lookups, want 65 and 10000 or more", len(live), lookups)
 	}
-	if rate := float64(wrong) / float64(asked); rate > 0.003 {
-		t.Errorf("%.4f of what is not there was found", rate)
+	if rate := float64(falsePositives) / float64(lookups); rate > 0.003 {
+		t.Errorf("rate of false positives: got %.4f, want 0.003 at most", rate)
 	}
 	for c := range live {
 		x.remove(c)
 	}
 	if len(x.blocks) != 0 {
-		t.Errorf("%d blocks are kept for nothing", len(x.blocks))
+		t.Errorf("blocks without segments: got %d, want 0", len(x.blocks))
 	}
 }
--- a/internal/store/sqlite/inspect.go
+++ b/internal/store/sqlite/inspect.go
@@ -19,14 +19,15 @@
 	beforeBackupRename = failpoint.New("store/sqlite/before-backup-rename")
 )
 
-// Inspector reads the file of a store for operators, also while a node uses it. It changes nothing, and is not safe for
-// concurrent use.
+// Inspector implements [store.Inspector] on the file of a store, also while a node uses it. It does not change the file,
+// and is not safe for concurrent use.
 type Inspector struct {
 	path string
 	conn *sqlite3.Conn
 }
 
-// Inspect opens a file to read it. It returns an error if it is not a store with the schema of this program.
+// Inspect opens the file of a store for reading. It returns an error if the file is not a store, or if its schema is not the
+// one of this program.
 func Inspect(path string) (*Inspector, error) {
 	c, err := sqlite3.OpenFlags("file:"+path, sqlite3.OPEN_READWRITE|sqlite3.OPEN_URI)
 	if err != nil {
@@ -45,7 +46,7 @@
 			return err
 		}
 		if v < len(migrations) {
-			return fmt.Errorf("%s has schema %d of %d: run 'wingmount store migrate', or start the node", path, v, len(migrations))
+			return fmt.Errorf("%s has schema version %d, want %d: run 'wingmount store migrate', or start the node", path, v, len(migrations))
 		}
 		return nil
 	}()
@@ -73,14 +74,14 @@
 	if err := st.Err(); err != nil {
 		return singleLineError{fmt.Errorf("%s is damaged: %w", i.path, err)}
 	}
-	// The witness is read first: commits that follow are in the file before they are in the witness.
-	seen, _ := readWitness(i.path + "-witness")
-	commits, err := number(i.conn, "SELECT commits FROM meta")
+	// The witness is read first: a node that is running writes each commit to the file before it writes it to the witness.
+	want, _ := readWitness(i.path + "-witness")
+	commits, err := queryInt(i.conn, "SELECT commits FROM meta")
 	if err != nil {
 		return err
 	}
-	if seen > commits {
-		return fmt.Errorf("%s: %w: it has %d, and had %d", i.path, errLostCommits, commits, seen)
+	if want > commits {
+		return fmt.Errorf("%s: %w: got %d, want %d", i.path, errLostCommits, commits, want)
 	}
 	return nil
 }
@@ -100,7 +101,7 @@
 		{"pages", "PRAGMA page_count"},
 		{"free pages", "PRAGMA freelist_count"},
 	} {
-		n, err := number(i.conn, q.query)
+		n, err := queryInt(i.conn, q.query)
 		if err != nil {
 			return nil, singleLineError{err}
 		}
@@ -117,6 +118,7 @@
 		store.Figure{Name: "intent bytes", Value: fileBytes(i.path + "-intents")}), nil
 }
 
+// fileBytes returns the size of a file, or 0 if it can't be determined.
 func fileBytes(path string) int64 {
 	info, err := os.Stat(path)
 	if err != nil {
@@ -126,7 +128,7 @@
 }
 
 // Entries implements [store.Inspector]. A query for one id reads all responses on record.
-func (i *Inspector) Entries(_ context.Context, id string, hand func(store.Entry) error) error {
+func (i *Inspector) Entries(_ context.Context, id string, visit func(store.Entry) error) error {
 	st, _, err := i.conn.Prepare(`SELECT m.seq, id, dest, taken, deadline, coalesce(attempts, 0), coalesce(flags, 0), -1, 0, 0, 0, length(body)
 			FROM message m LEFT JOIN past p ON p.seq = m.seq WHERE ?1 = '' OR id = ?1
 		UNION ALL SELECT seq, id, dest, taken, 0, attempts, 0, kind, retry, ended, coalesce(told, 0), 0 FROM answer WHERE ?1 = '' OR id = ?1
@@ -154,7 +156,7 @@
 				e.State = store.StateNotified
 			}
 		}
-		if err := hand(e); err != nil {
+		if err := visit(e); err != nil {
 			return err
 		}
 	}
@@ -164,6 +166,7 @@
 	return nil
 }
 
+// optionalTime converts Unix microseconds, and returns nil for 0.
 func optionalTime(us int64) *time.Time {
 	if us == 0 {
 		return nil
@@ -172,14 +175,14 @@
 	return &t
 }
 
-// Backup implements [store.Inspector]. It writes a file with another name first, which it syncs and renames. It does
-// not overwrite a file. Meanwhile the WAL grows by what the node writes.
+// Backup implements [store.Inspector]. It writes the copy to a temporary file, which it syncs and then renames. It does not
+// overwrite an existing file. While it runs, the WAL grows by the writes of the node.
 func (i *Inspector) Backup(_ context.Context, to string) (err error) {
 	if _, err := os.Stat(to); !errors.Is(err, os.ErrNotExist) {
-		return errors.Join(fmt.Errorf("%s is there already", to), err)
+		return errors.Join(fmt.Errorf("%s already exists", to), err)
 	}
 	part := to + ".part"
-	if err := os.Remove(part); err != nil && !errors.Is(err, os.ErrNotExist) { // of a backup that was cut off
+	if err := os.Remove(part); err != nil && !errors.Is(err, os.ErrNotExist) { // left by an interrupted backup
 		return err
 	}
 	defer func() {
@@ -220,8 +223,8 @@
 	return nil
 }
 
-// Migrate brings the file of a stopped node to the schema of this program, and returns the
-// versions before and after.
+// Migrate migrates the file of a stopped node to the schema of this program, and returns the schema versions before and
+// after.
 func Migrate(cfg Config) (from, to int, err error) {
 	lock, err := lockFile(cfg.Path)
 	if err != nil {
--- a/internal/store/sqlite/inspect_test.go
+++ b/internal/store/sqlite/inspect_test.go
@@ -20,8 +20,8 @@
 	"github.com/ncruces/go-sqlite3"
 )
 
-// An Inspector reads the store of a running node, and changes nothing.
-func TestInspect(t *testing.T) {
+// An Inspector reads the store of a running node: its check succeeds, and its statistics and entries match the messages.
+func TestInspectorReadsRunningStore(t *testing.T) {
 	c := config(t.TempDir())
 	s, _ := mustOpen(t, c)
 	var ms []*message.Message
@@ -48,11 +48,11 @@
 	}
 	for name, want := range map[string]int64{"schema": int64(len(migrations)), "running": 3, "answers owed": 1, "answers kept": 1, "attempts at running": 1} {
 		if figures[name] != want {
-			t.Errorf("stat: %s is %v, want %d", name, figures[name], want)
+			t.Errorf("Stat: %s: got %v, want %d", name, figures[name], want)
 		}
 	}
 	if figures["oldest running"] == "-" || figures["pages"].(int64) < 1 {
-		t.Errorf("stat %+v", st)
+		t.Errorf("Stat: got %+v, want an oldest running message and at least one page", st)
 	}
 	var got []string
 	testkit.Must(t, i.Entries(ctx, "", func(e store.Entry) error {
@@ -61,22 +61,22 @@
 	}))
 	want := []string{"m0 told delivered 1 false 4294967295", "m1 running  1 true 4294967294", "m2 owed refused 0 false 4294967293", "m3 running  0 false 4294967292", "m4 running  0 false 4294967291"}
 	if fmt.Sprint(got) != fmt.Sprint(want) {
-		t.Errorf("entries %q, want %q", got, want)
+		t.Errorf("Entries: got %q, want %q", got, want)
 	}
 	n := 0
 	testkit.Must(t, i.Entries(ctx, "m2", func(store.Entry) error { n++; return nil }))
 	if n != 1 {
-		t.Errorf("m2 is there %d times", n)
+		t.Errorf("Entries of m2: got %d, want 1", n)
 	}
 	testkit.Must(t, i.Close())
 	testkit.Must(t, s.Close())
 	if _, err := Inspect(filepath.Join(t.TempDir(), "none.db")); err == nil {
-		t.Error("a file that is not there was opened")
+		t.Error("Inspect of a missing file: got no error, want one")
 	}
 }
 
-// A copy made while messages are accepted has the state of one moment, and can be opened.
-func TestBackupOfARunningStore(t *testing.T) {
+// A backup that is made while messages are accepted is a consistent snapshot, and can be opened as a store.
+func TestBackupOfRunningStoreIsConsistent(t *testing.T) {
 	dir := t.TempDir()
 	c := config(dir)
 	s, _ := mustOpen(t, c)
@@ -97,23 +97,23 @@
 			}
 		}
 	})
-	testkit.Eventually(t, "some messages", func() bool { return accepted.Load() > 50 })
+	testkit.Eventually(t, "more than 50 accepted messages", func() bool { return accepted.Load() > 50 })
 	for k := range 3 {
 		i, err := Inspect(c.Path)
 		testkit.Must(t, err)
 		to := filepath.Join(dir, fmt.Sprint("copy", k))
 		testkit.Must(t, i.Backup(ctx, to))
-		if err := i.Backup(ctx, to); err == nil || !strings.Contains(err.Error(), "is there already") {
-			t.Errorf("over a file that is there: %v", err)
+		if err := i.Backup(ctx, to); err == nil || !strings.Contains(err.Error(), "already exists") {
+			t.Errorf("Backup to an existing file: got %v, want an error that it already exists", err)
 		}
 		testkit.Must(t, i.Close())
 		copied, r := mustOpen(t, Config{Path: to, Durability: Power, ResponseRetention: time.Hour, NotifyDelivered: true})
 		if len(r.Pending) < 50 {
-			t.Errorf("the copy has %d messages", len(r.Pending))
+			t.Errorf("messages in the backup: got %d, want 50 or more", len(r.Pending))
 		}
 		for n, m := range r.Pending {
 			if m.ID != fmt.Sprint("m", n) {
-				t.Fatalf("message %d of the copy is %s", n, m.ID)
+				t.Fatalf("message %d of the backup: got id %s, want m%d", n, m.ID, n)
 			}
 		}
 		testkit.Must(t, copied.Accept(ctx, storetest.NewMessage("new", 1)))
@@ -124,8 +124,9 @@
 	testkit.Must(t, s.Close())
 }
 
-// A backup that is interrupted leaves no file that looks complete, the next one succeeds, and the store is unchanged.
-func TestKilledDuringBackup(t *testing.T) {
+// If the process is killed during a backup, no file remains that looks like a complete backup. The next backup succeeds,
+// and the store is unchanged.
+func TestCrashDuringBackupLeavesNoBackupFile(t *testing.T) {
 	for _, point := range []string{"store/sqlite/during-backup", "store/sqlite/before-backup-rename"} {
 		t.Run(filepath.Base(point), func(t *testing.T) {
 			dir, image := t.TempDir(), t.TempDir()
@@ -142,11 +143,11 @@
 			testkit.Must(t, i.Close())
 			testkit.Must(t, s.Close())
 			if _, err := os.Stat(filepath.Join(image, "copy")); !errors.Is(err, os.ErrNotExist) {
-				t.Errorf("a file that looks like a backup: %v", err)
+				t.Errorf("file at the path of the backup: got %v, want ErrNotExist", err)
 			}
 			s, r := mustOpen(t, config(image))
 			if len(r.Pending) != 1 {
-				t.Errorf("got pending %v", r.Pending)
+				t.Errorf("pending messages: got %v, want 1", r.Pending)
 			}
 			i, err = Inspect(config(image).Path)
 			testkit.Must(t, err)
@@ -157,30 +158,30 @@
 	}
 }
 
-// The file of a stopped node can be migrated; one in use is rejected.
-func TestMigrate(t *testing.T) {
+// Migrate migrates the file of a stopped node, and rejects a file that is in use.
+func TestMigrateRequiresStoppedNode(t *testing.T) {
 	c := config(t.TempDir())
 	s, _ := mustOpen(t, c)
 	if _, _, err := Migrate(c); err == nil || !strings.Contains(err.Error(), "in use") {
-		t.Errorf("a file in use: %v", err)
+		t.Errorf("Migrate of a file in use: got %v, want an error that it is in use", err)
 	}
 	testkit.Must(t, s.Close())
 	c = config(t.TempDir())
 	db, err := sqlite3.Open("file:" + c.Path)
 	testkit.Must(t, err)
-	testkit.Must(t, db.Exec(migrations[0]+"; INSERT INTO message VALUES (1, 'a', '', 1, 7, 1, 1, x'01')")) // as the first schema left it
+	testkit.Must(t, db.Exec(migrations[0]+"; INSERT INTO message VALUES (1, 'a', '', 1, 7, 1, 1, x'01')")) // a file with the first schema
 	testkit.Must(t, db.Exec(fmt.Sprintf("PRAGMA application_id = %d; PRAGMA user_version = 1", applicationID)))
 	testkit.Must(t, db.Close())
 	if _, err := Inspect(c.Path); err == nil || !strings.Contains(err.Error(), "store migrate") {
-		t.Errorf("an old schema: %v", err)
+		t.Errorf("Inspect of an old schema: got %v, want an error that names store migrate", err)
 	}
 	from, to, err := Migrate(c)
 	if err != nil || from != 1 || to != len(migrations) {
-		t.Errorf("from %d to %d: %v", from, to, err)
+		t.Errorf("Migrate: got versions %d to %d, %v, want 1 to %d", from, to, err, len(migrations))
 	}
 	s, r := mustOpen(t, c)
 	if len(r.Pending) != 1 {
-		t.Errorf("got pending %v", r.Pending)
+		t.Errorf("pending messages: got %v, want 1", r.Pending)
 	}
 	testkit.Must(t, s.Close())
 }
--- a/internal/store/sqlite/maintain.go
+++ b/internal/store/sqlite/maintain.go
@@ -3,17 +3,18 @@
 import "time"
 
 const (
-	// maxSweptRows is how many rows of each table one sweep reads or deletes, so that it delays no commit for long.
+	// maxSweptRows is the maximum number of rows of each table that one sweep reads or deletes, so that it does not delay
+	// commits for long.
 	maxSweptRows = 2500
-	// sweepInterval is between two sweeps that find no expired response.
+	// sweepInterval is the minimum time between two sweeps if no response has expired.
 	sweepInterval = 10 * time.Second
-	// callRetention is for how long calls are kept, which count for the rate windows of the node's next process.
+	// callRetention is how long calls are retained. The node's next process counts them in its rate windows.
 	callRetention = 5 * time.Minute
-	// endpointRetention is for how long the failures of endpoints are kept.
+	// endpointRetention is how long the failures of endpoints are retained.
 	endpointRetention = time.Hour
 )
 
-// Maintain implements [group.Backend]. It deletes some of the records whose retention has ended.
+// Maintain implements [group.Backend]. It deletes a limited number of the records whose retention has ended.
 func (s *backend) Maintain(now time.Time) error {
 	expired, err := s.findExpired(now)
 	if err != nil {
@@ -26,15 +27,15 @@
 	return s.sweep(now, expired)
 }
 
-// findExpired returns the responses whose retention has ended, among the next maxSweptRows.
+// findExpired reads the next maxSweptRows responses after lastSwept and returns those whose retention has ended.
 func (s *backend) findExpired(now time.Time) (expired []expiredResponse, err error) {
 	st := s.st.scanResponses
 	if err := bind(st, s.lastSwept, maxSweptRows); err != nil {
 		return nil, err
 	}
-	seen := 0
+	read := 0
 	for st.Step() {
-		seen++
+		read++
 		s.lastSwept = st.ColumnInt64(0)
 		if notifiedAt := st.ColumnInt64(1); notifiedAt != 0 && notifiedAt < now.Add(-s.cfg.ResponseRetention).UnixMicro() {
 			expired = append(expired, expiredResponse{seq: s.lastSwept, segment: st.ColumnInt64(2), hash: s.ids.hash(st.ColumnText(3))})
@@ -43,13 +44,13 @@
 	if err := st.Reset(); err != nil {
 		return nil, err
 	}
-	if seen < maxSweptRows || len(expired) == 0 {
-		s.lastSwept = 0 // from the oldest again: those behind retained ones are newer
+	if read < maxSweptRows || len(expired) == 0 {
+		s.lastSwept = 0 // start again from the oldest: rows after retained ones are newer
 	}
 	return expired, nil
 }
 
-// sweep deletes expired responses, old calls and old failures of endpoints in a transaction.
+// sweep deletes the expired responses, old calls and old failures of endpoints in one transaction.
 func (s *backend) sweep(now time.Time, expired []expiredResponse) (err error) {
 	if err := s.begin(); err != nil {
 		return err
@@ -59,7 +60,7 @@
 			err = s.rollback(err)
 		}
 	}()
-	done, err := s.deleteResponses(expired)
+	applyDeletions, err := s.deleteResponses(expired)
 	if err != nil {
 		return err
 	}
@@ -75,6 +76,6 @@
 	if err := s.conn.Exec("COMMIT"); err != nil {
 		return err
 	}
-	done()
+	applyDeletions()
 	return nil
 }
--- a/internal/store/sqlite/records.go
+++ b/internal/store/sqlite/records.go
@@ -7,8 +7,8 @@
 	"wingmount/internal/store/group"
 )
 
-// writeRecord writes one record in the transaction. The result is for the caller of the record; an err ends the
-// transaction.
+// writeRecord writes one record in the transaction. The result is returned to the caller that waits for the record. If err
+// is not nil, the transaction must be rolled back.
 func (s *backend) writeRecord(r *group.Record) (result, err error) {
 	switch r.Kind {
 	case group.Accept:
@@ -40,7 +40,7 @@
 	return nil, nil
 }
 
-// accept persists a message, unless its id is on record: then the result is a [store.DuplicateError].
+// accept persists a message. If its id is already on record, the result is a [store.DuplicateError].
 func (s *backend) accept(r *group.Record) (result, err error) {
 	m := r.Message
 	response, err := s.findResponse(m.ID)
@@ -59,7 +59,7 @@
 	return &store.DuplicateError{}, nil
 }
 
-// recordHistories persists the attempts at messages so far.
+// recordHistories persists the histories of the record's messages.
 func (s *backend) recordHistories(r *group.Record) error {
 	for i, h := range r.Histories {
 		if err := exec(s.st.history, r.Seqs[i], h.Attempts, h.Flags(), message.UnixMicros(h.RanAt), h.RanZone); err != nil {
@@ -69,7 +69,7 @@
 	return nil
 }
 
-// recordResponses persists final responses, and deletes their messages.
+// recordResponses persists the record's final responses and deletes their messages.
 func (s *backend) recordResponses(r *group.Record) error {
 	for i, response := range r.Responses {
 		var notifiedAt any
--- a/internal/store/sqlite/schema.go
+++ b/internal/store/sqlite/schema.go
@@ -8,11 +8,11 @@
 	"github.com/ncruces/go-sqlite3"
 )
 
-// applicationID marks a file as a store (PRAGMA application_id): 'wngm'.
+// applicationID identifies a file as a store (PRAGMA application_id): 'wngm'.
 const applicationID = 0x776e676d
 
-// migrations are the steps of the schema, in order. One that has been released is never
-// changed; PRAGMA user_version is how many of them a file has had.
+// migrations contains the steps of the schema in order. A released step must never change. PRAGMA user_version is the
+// number of steps that were applied to a file.
 var migrations = []string{
 	// Times are Unix microseconds, durations milliseconds.
 	`CREATE TABLE meta (
@@ -63,7 +63,7 @@
 		at       INTEGER NOT NULL
 	) STRICT;`,
 
-	// Final responses in the order of their numbers, without an index of ids: see ids.go.
+	// Final responses in the order of their sequence numbers, without an index of ids: see ids.go.
 	fmt.Sprintf(`CREATE TABLE kept (
 		seq      INTEGER PRIMARY KEY,
 		id       TEXT NOT NULL,
@@ -95,7 +95,7 @@
 	ALTER TABLE meta ADD COLUMN seed INTEGER NOT NULL DEFAULT 0; -- of the hash
 	UPDATE meta SET seed = random();`, maxSegmentResponses),
 
-	// The names behind the numbers of classes and zones in records, see store.Names.
+	// The names of the numbers of classes and zones in records, see store.Names.
 	`CREATE TABLE name (
 		kind INTEGER NOT NULL,
 		n    INTEGER NOT NULL,
@@ -109,8 +109,8 @@
 	afterMigration  = failpoint.New("store/sqlite/after-migration")
 )
 
-// number returns the integer that a query selects.
-func number(c *sqlite3.Conn, query string) (int64, error) {
+// queryInt returns the integer that a query selects.
+func queryInt(c *sqlite3.Conn, query string) (int64, error) {
 	st, _, err := c.Prepare(query)
 	if err != nil {
 		return 0, fmt.Errorf("%s: %w", query, err)
@@ -120,20 +120,21 @@
 		if err := st.Err(); err != nil {
 			return 0, fmt.Errorf("%s: %w", query, err)
 		}
-		return 0, fmt.Errorf("%s: nothing came", query)
+		return 0, fmt.Errorf("%s: got no row, want one", query)
 	}
 	return st.ColumnInt64(0), nil
 }
 
-func pragma(c *sqlite3.Conn, name string) (int64, error) { return number(c, "PRAGMA "+name) }
+func pragma(c *sqlite3.Conn, name string) (int64, error) { return queryInt(c, "PRAGMA "+name) }
 
 // singleLineError is an error whose text is on one line.
 type singleLineError struct{ error }
 
-func (p singleLineError) Error() string { return strings.Join(strings.Fields(p.error.Error()), " ") }
-func (p singleLineError) Unwrap() error { return p.error }
+func (e singleLineError) Error() string { return strings.Join(strings.Fields(e.error.Error()), " ") }
+func (e singleLineError) Unwrap() error { return e.error }
 
-// version checks that a file is a store, and returns how many migrations it has had. It changes nothing.
+// version checks that a file is a store or empty, and returns the number of migrations that were applied to it. It does
+// not change the file.
 func version(c *sqlite3.Conn, path string) (int, error) {
 	app, err := pragma(c, "application_id")
 	if err != nil {
@@ -143,20 +144,20 @@
 	if err != nil {
 		return 0, err
 	}
-	things, err := number(c, "SELECT count(*) FROM sqlite_schema")
+	objects, err := queryInt(c, "SELECT count(*) FROM sqlite_schema")
 	if err != nil {
 		return 0, err
 	}
 	switch {
-	case app != applicationID && things > 0:
-		return 0, fmt.Errorf("%s is a database of something else: it is left as it is", path)
+	case app != applicationID && objects > 0:
+		return 0, fmt.Errorf("%s is a database of another program; it was not changed", path)
 	case v > int64(len(migrations)):
-		return 0, fmt.Errorf("%s has schema %d, and this program knows %d: it was written by a newer one, and is left as it is", path, v, len(migrations))
+		return 0, fmt.Errorf("%s has schema version %d, but this program supports versions up to %d: a newer program wrote the file; it was not changed", path, v, len(migrations))
 	}
 	return int(v), nil
 }
 
-// migrate brings a file to the latest schema. Each step is one transaction, which also writes its version.
+// migrate applies the migrations from the given index on. Each is one transaction, which also writes the new version.
 func migrate(c *sqlite3.Conn, from int) error {
 	for i := from; i < len(migrations); i++ {
 		if err := runMigration(c, i); err != nil {
@@ -182,20 +183,20 @@
 	return c.Exec(fmt.Sprintf("PRAGMA application_id = %d; PRAGMA user_version = %d", applicationID, i+1))
 }
 
-// checkPages reads all pages, and returns an error if one is damaged.
+// checkPages reads all pages and returns an error if one is damaged.
 func checkPages(c *sqlite3.Conn, path string) error {
 	st, _, err := c.Prepare("PRAGMA quick_check(3)")
 	if err != nil {
-		return fmt.Errorf("%s is damaged, and is left as it is: %w", path, err)
+		return fmt.Errorf("%s is damaged; it was not changed: %w", path, err)
 	}
 	defer func() { _ = st.Close() }()
 	for st.Step() {
 		if text := st.ColumnText(0); text != "ok" {
-			return fmt.Errorf("%s is damaged, and is left as it is: %s", path, text)
+			return fmt.Errorf("%s is damaged; it was not changed: %s", path, text)
 		}
 	}
 	if err := st.Err(); err != nil {
-		return fmt.Errorf("%s is damaged, and is left as it is: %w", path, err)
+		return fmt.Errorf("%s is damaged; it was not changed: %w", path, err)
 	}
 	return nil
 }
--- a/internal/store/sqlite/signatures.go
+++ b/internal/store/sqlite/signatures.go
@@ -3,37 +3,41 @@
 import "math/bits"
 
 const (
-	// signatureBits is how many bits a segment's column has for each of its ids, and signatureKeys how many of them an
-	// id sets. One in 1,700 ids that are not in a segment matches its column.
+	// signatureBits is the number of bits that a segment's column has for each of its ids, and signatureKeys the number of
+	// bits that an id sets. The rate of false positives is 1 in 1,700: of the ids that are not in a segment, one in 1,700
+	// matches its column.
 	signatureBits = 16
 	signatureKeys = 8
-	columns       = 64
+	// columns is the number of columns in a block: the bits of a row.
+	columns = 64
 )
 
-// signatures are the Bloom filters of segments, side by side: a row has one bit for each of 64 segments, so an id is
-// looked up in all of them by the same signatureKeys rows. Separate filters would cost as many cache misses each.
+// signatures is a bit-sliced set of Bloom filters, one for each segment. Each row has one bit for each of 64 segments, so a
+// lookup in all 64 reads the same signatureKeys rows. With separate filters, each segment would cost signatureKeys cache
+// misses.
 type signatures struct {
-	mask   uint64 // rows of a block, less one; a power of two less one
+	mask   uint64 // number of rows in a block minus 1; the number is a power of two
 	blocks []*block
 }
 
+// block contains the filters of up to 64 segments.
 type block struct {
 	rows []uint64
-	used uint64 // the columns in use
+	used uint64 // bit set of the assigned columns
 }
 
 // column is the position of a segment's filter.
 type column struct{ block, bit int }
 
-// newSignatures returns filters for segments of so many ids.
+// newSignatures returns filters for segments with the given number of ids.
 func newSignatures(ids int) signatures {
 	return signatures{mask: 1<<bits.Len(uint(max(1, ids)*signatureBits-1)) - 1}
 }
 
-// row returns the i-th row of a hash.
+// row returns the index of the i-th row of a hash.
 func (s *signatures) row(hash uint64, i uint64) uint64 { return (hash + i*(hash>>32|1)) & s.mask }
 
-// add assigns a column to a segment.
+// add assigns a column to a segment with the given hashes, and returns it.
 func (s *signatures) add(hashes []uint64) column {
 	at := 0
 	for at < len(s.blocks) && s.blocks[at].used == 1<<columns-1 {
@@ -53,7 +57,7 @@
 	return c
 }
 
-// remove frees a column. Blocks without segments at the end are released.
+// remove frees a column, and releases unused blocks at the end of the list.
 func (s *signatures) remove(c column) {
 	b := s.blocks[c.block]
 	b.used &^= 1 << c.bit
@@ -72,11 +76,11 @@
 // find appends, for each block, a bit set of the columns that may contain a hash.
 func (s *signatures) find(hash uint64, to []uint64) []uint64 {
 	for _, b := range s.blocks {
-		may := b.used
+		matches := b.used
 		for i := range uint64(signatureKeys) {
-			may &= b.rows[s.row(hash, i)]
+			matches &= b.rows[s.row(hash, i)]
 		}
-		to = append(to, may)
+		to = append(to, matches)
 	}
 	return to
 }
--- a/internal/store/sqlite/sqlite.go
+++ b/internal/store/sqlite/sqlite.go
@@ -1,18 +1,19 @@
 // Package sqlite is a store of record in one SQLite file, for one node.
 //
-// With [Power] a committed record survives a crash of the machine, provided that the disk syncs what it acknowledges; with
-// [Process] it survives the end of the process, and a crash of the machine may lose the last commits. Records are
-// committed in groups. While the file can't be written, new messages are rejected at once, and all other records wait in
-// memory, bounded by the messages in flight. Final responses are retained for a time after their clients were notified.
+// With [Power] a committed record survives a crash of the machine, provided that the disk really persists the writes whose
+// sync it acknowledges. With [Process] it survives the end of the process, but a crash of the machine may lose the last
+// commits. Records are committed in groups. While the file can't be written, new messages are rejected immediately, and all
+// other records wait in memory; their number is bounded by the messages in flight. Final responses are retained for a
+// configured time after their clients were notified.
 //
 // # Concurrency
 //
-// A [Store] is safe for concurrent use. The [group.Queue] in it calls the backend from one goroutine, which uses the
-// connection and all fields; only Closing runs in another one. A lock file keeps other nodes away; an [Inspector] reads
-// beside a running node.
+// A [Store] is safe for concurrent use. Its [group.Queue] calls the backend from one goroutine, which uses the connection
+// and all fields; Full and Closing may run in other goroutines. A lock file prevents other nodes from opening the store;
+// an [Inspector] can read it while a node runs.
 //
-// Start reading at [Open], then Commit in writer.go and writeRecord in records.go. How duplicate ids are found is in
-// ids.go.
+// Start reading at [Open], then Commit in writer.go and writeRecord in records.go. ids.go implements the lookup of
+// duplicate ids.
 package sqlite
 
 import (
@@ -31,21 +32,21 @@
 	"github.com/ncruces/go-sqlite3"
 )
 
-// Durability is what a committed record survives.
+// Durability determines which failure a committed record survives.
 type Durability int
 
-// The levels.
+// The durability levels.
 const (
-	Power   Durability = iota // a crash of the machine: each commit is synced
-	Process                   // the end of the process
+	Power   Durability = iota // survives a crash of the machine: each commit is synced
+	Process                   // survives the end of the process
 )
 
 const (
-	// beginTimeout is how long one attempt to begin a transaction waits for another writer.
+	// beginTimeout is how long an attempt to begin a transaction waits for another writer's lock.
 	beginTimeout = 50 * time.Millisecond
-	// openTimeout is how long opening waits for another program's lock.
+	// openTimeout is how long opening the file waits for another program's lock.
 	openTimeout = 5 * time.Second
-	// reservePages are kept free of new messages, for the final responses of messages in flight.
+	// reservePages is the number of pages that new messages must leave free for the final responses of messages in flight.
 	reservePages = 256
 	minFileBytes = 4 << 20
 	pageBytes    = 4096
@@ -62,51 +63,51 @@
 
 // Config configures a store.
 type Config struct {
-	Path       string // of the database file; others are made beside it: -wal, -shm, -lock, -witness
+	Path       string // of the database file; further files have this path with the suffix -wal, -shm, -lock or -witness
 	Durability Durability
-	// MaxBytes bounds the database file: 4 MiB at least, 0 for no bound. The WAL beside it is kept to about 4 MiB unless
-	// another process reads for long.
+	// MaxBytes bounds the database file. It is at least 4 MiB; 0 means no bound. The WAL, a separate file, is limited to
+	// about 4 MiB unless another process keeps a long read transaction open.
 	MaxBytes int64
-	// ResponseRetention is for how long a final response is kept after its client was notified. Until then a client that
+	// ResponseRetention is how long a final response is retained after its client was notified. Until then, a client that
 	// submits the id again receives the same response.
 	ResponseRetention time.Duration
-	// NotifyDelivered is set if clients are notified of deliveries as of other final responses.
+	// NotifyDelivered is set if clients are notified of deliveries too, not only of other final responses.
 	NotifyDelivered bool
-	// NoCheck skips the check of all pages at the start.
+	// NoCheck skips the check of all pages when the store is opened.
 	NoCheck bool
-	// Names are those that the node uses.
+	// Names are the names of classes and zones that the node uses.
 	Names store.Names
 
-	vfs     string // a file system with faults, for tests
-	segment int    // responses in a segment of ids; 0 for maxSegmentResponses
+	vfs     string // name of a file system that injects faults, for tests
+	segment int    // number of responses in a segment of ids; 0 means maxSegmentResponses
 }
 
 // Store is a store of record in a SQLite file.
 type Store struct{ *group.Queue }
 
-// backend writes the transactions of a store. Its fields belong to the goroutine of the queue.
+// backend implements [group.Backend]. Only the queue's writer goroutine uses its fields, except closing.
 type backend struct {
 	cfg     Config
 	log     *slog.Logger
 	lock    *os.File
 	witness *witness
-	bootID  uint64 // of the machine, see bootID
+	bootID  uint64 // identifies the machine's boot, see bootID
 
 	conn      *sqlite3.Conn
 	st        statements
 	ids       idIndex
-	commits   int64 // in the file
+	commits   int64 // number of commits in the file
 	nextSweep time.Time
 	lastSwept int64                     // the last seq that findExpired has read
-	closing   atomic.Pointer[time.Time] // when to give up an unresolved commit; safe for concurrent use
+	closing   atomic.Pointer[time.Time] // when overwrite must stop retrying, set by Closing; safe for concurrent use
 }
 
-// Open opens the store in a file, or creates it. It returns an error for a file that is damaged, has lost commits, was
-// written by another program or a newer version, or is in use, and does not change such a file.
+// Open opens the store in a file, or creates it. It returns an error, and does not change the file, if the file is
+// damaged, has lost commits, was written by another program or a newer version, or is in use.
 func Open(cfg Config, log *slog.Logger) (_ *Store, _ store.Recovered, err error) {
 	var none store.Recovered
 	if cfg.MaxBytes != 0 && cfg.MaxBytes < minFileBytes {
-		return nil, none, fmt.Errorf("a store needs %d bytes at least, not %d", minFileBytes, cfg.MaxBytes)
+		return nil, none, fmt.Errorf("opening %s: maximum size is %d bytes, want %d or more", cfg.Path, cfg.MaxBytes, minFileBytes)
 	}
 	s := &backend{cfg: cfg, log: log, bootID: bootID()}
 	defer func() {
@@ -130,7 +131,7 @@
 	return &Store{queue}, recovered, nil
 }
 
-// lockFile locks a store against other nodes, until the returned file is closed.
+// lockFile acquires the store's lock file, so that no other node opens the store until the returned file is closed.
 func lockFile(path string) (*os.File, error) {
 	f, err := os.OpenFile(path+"-lock", os.O_RDWR|os.O_CREATE, 0o600)
 	if err != nil {
@@ -142,10 +143,10 @@
 	return f, nil
 }
 
-// start checks the file, migrates it and reads the unfinished messages.
+// start checks the file, migrates it and reads the recovered messages.
 func (s *backend) start() (_ store.Recovered, last policy.MessageID, _ error) {
 	var none store.Recovered
-	// Closing a rejected file must not change it.
+	// A rejected file must not change, so it must not be checkpointed when the connection closes.
 	if _, err := s.conn.Config(sqlite3.DBCONFIG_NO_CKPT_ON_CLOSE, true); err != nil {
 		return none, 0, err
 	}
@@ -177,13 +178,13 @@
 	return s.readRecovered()
 }
 
-// checkFile checks that the file is a store and that its pages are good, and returns the version of its schema. It reads
-// the number of commits.
+// checkFile checks that the file is a store and that its pages are undamaged. It sets s.commits to the file's number of
+// commits and returns the version of its schema, which is 0 for a new file.
 func (s *backend) checkFile() (migrations int, err error) {
 	v, err := version(s.conn, s.cfg.Path)
 	if err != nil {
 		if code := errorCode(err); code == sqlite3.NOTADB || code == sqlite3.CORRUPT {
-			err = fmt.Errorf("%s is damaged, or no database, and is left as it is: %w", s.cfg.Path, err)
+			err = fmt.Errorf("%s is damaged or not a database; it was not changed: %w", s.cfg.Path, err)
 		}
 		return 0, err
 	}
@@ -195,33 +196,34 @@
 			return 0, err
 		}
 	}
-	s.commits, err = number(s.conn, "SELECT commits FROM meta")
+	s.commits, err = queryInt(s.conn, "SELECT commits FROM meta")
 	return v, err
 }
 
-// checkWitness opens the witness, and compares its number of commits with that of the file. The rule: commits may be
-// missing only with [Process], and only if the machine has restarted since; otherwise it returns errLostCommits.
+// checkWitness opens the witness and compares its number of commits with that of the file. The file may lack commits only
+// with [Process], and only if the machine has restarted since they were made; otherwise checkWitness returns
+// errLostCommits.
 func (s *backend) checkWitness() error {
-	witness, seen, boot, err := openWitness(s.cfg.Path + "-witness")
+	witness, want, boot, err := openWitness(s.cfg.Path + "-witness")
 	s.witness = witness
-	if err != nil || seen <= s.commits {
+	if err != nil || want <= s.commits {
 		return err
 	}
 	if s.cfg.Durability == Power || boot == s.bootID {
-		return fmt.Errorf("%s: %w: it has %d, and had %d. Its WAL was cut off or removed, or an older copy was put in its place. "+
-			"It is left as it is; to go on without what is missing, remove %s-witness", s.cfg.Path, errLostCommits, s.commits, seen, s.cfg.Path)
+		return fmt.Errorf("%s: %w: got %d, want %d. Its WAL was truncated or removed, or the file was replaced by an older copy. "+
+			"It was not changed; to continue without the missing commits, remove %s-witness", s.cfg.Path, errLostCommits, s.commits, want, s.cfg.Path)
 	}
-	s.log.Warn("store: last commits lost in a crash of the machine", "had", seen, "has", s.commits)
+	s.log.Warn("store: last commits lost in a crash of the machine", "had", want, "has", s.commits)
 	return nil
 }
 
-// configure sets how SQLite writes the file.
+// configure sets the connection's pragmas. A fresh file also gets page checksums.
 func (s *backend) configure(fresh bool) error {
 	sync := "FULL"
 	if s.cfg.Durability == Process {
 		sync = "NORMAL"
 	}
-	// The page size counts for a new file only; the WAL is cut back to its usual size.
+	// The page size applies to a new file only. The size limit truncates a WAL that has grown larger.
 	if err := s.conn.Exec(fmt.Sprintf("PRAGMA page_size=%d; PRAGMA journal_mode=WAL; PRAGMA synchronous=%s; PRAGMA journal_size_limit=%d; PRAGMA wal_autocheckpoint=1000; PRAGMA cache_size=-16384",
 		pageBytes, sync, minFileBytes)); err != nil {
 		return fmt.Errorf("opening %s: %w", s.cfg.Path, err)
@@ -237,6 +239,7 @@
 	return nil
 }
 
+// errorCode returns the primary SQLite error code of an error, or 0 if it has none.
 func errorCode(err error) sqlite3.ErrorCode {
 	var e *sqlite3.Error
 	var c sqlite3.ErrorCode
@@ -252,7 +255,7 @@
 	return 0
 }
 
-// Full implements [group.Backend].
+// Full implements [group.Backend]. It is safe for concurrent use.
 func (s *backend) Full(err error) bool {
 	return errorCode(err) == sqlite3.FULL || errors.Is(err, syscall.ENOSPC)
 }
--- a/internal/store/sqlite/sqlite_test.go
+++ b/internal/store/sqlite/sqlite_test.go
@@ -17,6 +17,7 @@
 	return Config{Path: filepath.Join(dir, "wingmount.db"), Durability: Process, ResponseRetention: time.Hour, NotifyDelivered: true, MaxBytes: 24 << 20, segment: 4}
 }
 
+// TestConformance runs the conformance suite that all stores pass.
 func TestConformance(t *testing.T) {
 	storetest.Run(t, storetest.Suite{
 		Failpoints: "store/sqlite/", RetainsResponses: true, Histories: 40,
@@ -25,7 +26,8 @@
 	})
 }
 
-func TestNames(t *testing.T) {
+// TestNamesConformance runs the conformance suite for the recorded names of classes and zones.
+func TestNamesConformance(t *testing.T) {
 	storetest.RunNames(t, func(dir string, names store.Names) (store.Store, store.Recovered, error) {
 		c := config(dir)
 		c.Names = names
--- a/internal/store/sqlite/statements.go
+++ b/internal/store/sqlite/statements.go
@@ -9,10 +9,10 @@
 
 // statements are the prepared statements of a connection.
 type statements struct {
-	accept, findResponse, findUnfinished, inBucket, history, deleteMessage, deleteHistory, recordResponse, markNotified, call, endpoint, meta *sqlite3.Stmt
-	segment, bucket, reduceRetained, deleteSegment, deleteBuckets                                                                             *sqlite3.Stmt
-	scanResponses, deleteResponse, deleteOldCalls, deleteOldEndpoints                                                                         *sqlite3.Stmt
-	all                                                                                                                                       []*sqlite3.Stmt
+	accept, findResponse, findUnfinished, bucketEntries, history, deleteMessage, deleteHistory, recordResponse, markNotified, call, endpoint, meta *sqlite3.Stmt
+	segment, bucket, reduceRetained, deleteSegment, deleteBuckets                                                                                  *sqlite3.Stmt
+	scanResponses, deleteResponse, deleteOldCalls, deleteOldEndpoints                                                                              *sqlite3.Stmt
+	all                                                                                                                                            []*sqlite3.Stmt
 }
 
 func (st *statements) prepare(c *sqlite3.Conn) error {
@@ -23,7 +23,7 @@
 		{&st.accept, `INSERT INTO message VALUES (?1, ?2, ?3, ?4, ?5, ?6, ?7, ?8) ON CONFLICT (id) DO NOTHING`},
 		{&st.findResponse, `SELECT id, kind, retry FROM answer WHERE seq = ?1`},
 		{&st.findUnfinished, `SELECT 1 FROM message WHERE id = ?1`},
-		{&st.inBucket, `SELECT entries FROM bucket WHERE segment = ?1 AND n = ?2`},
+		{&st.bucketEntries, `SELECT entries FROM bucket WHERE segment = ?1 AND n = ?2`},
 		{&st.history, `INSERT INTO past SELECT ?1, ?2, ?3, ?4, ?5 WHERE EXISTS (SELECT 1 FROM message WHERE seq = ?1)
 			ON CONFLICT (seq) DO UPDATE SET attempts = ?2, flags = ?3, ran = ?4, zone = ?5`},
 		{&st.recordResponse, `INSERT INTO answer SELECT seq, id, ?6, ?2, ?3, dest, coalesce((SELECT attempts FROM past WHERE seq = ?1), 0), taken, ?4, ?5
@@ -56,12 +56,12 @@
 
 func (st *statements) close() {
 	for _, s := range st.all {
-		_ = s.Close() // returns the error of its last step once more
+		_ = s.Close() // repeats the error of the statement's last step
 	}
 	st.all = nil
 }
 
-// exec binds and runs a statement that returns nothing.
+// exec binds the arguments to a statement that returns no rows, and runs it.
 func exec(st *sqlite3.Stmt, args ...any) error {
 	if err := bind(st, args...); err != nil {
 		return err
@@ -69,6 +69,7 @@
 	return st.Exec()
 }
 
+// bind binds the arguments to the parameters of a statement.
 func bind(st *sqlite3.Stmt, args ...any) error {
 	for i, a := range args {
 		var err error
@@ -90,7 +91,7 @@
 		case nil:
 			err = st.BindNull(i + 1)
 		default:
-			err = fmt.Errorf("can't bind %T", a)
+			err = fmt.Errorf("binding parameter %d: unsupported type %T", i+1, a)
 		}
 		if err != nil {
 			return err
@@ -99,8 +100,8 @@
 	return nil
 }
 
-// rows runs a query and calls a function for each of its rows.
-func (s *backend) rows(query string, row func(*sqlite3.Stmt)) error {
+// forEachRow runs a query and calls a function for each of its rows.
+func (s *backend) forEachRow(query string, row func(*sqlite3.Stmt)) error {
 	st, _, err := s.conn.Prepare(query)
 	if err != nil {
 		return fmt.Errorf("%s: %w", query, err)
--- a/internal/store/sqlite/sync_test.go
+++ b/internal/store/sqlite/sync_test.go
@@ -17,43 +17,44 @@
 	"github.com/ncruces/go-sqlite3/vfs"
 )
 
-// faulty is the usual file system, except that syncs of the WAL fail as often as it is set to.
-type faulty struct {
+// failingSyncVFS is the default file system, except that a given number of syncs of the WAL fail.
+type failingSyncVFS struct {
 	vfs.VFSFilename
-	fails atomic.Int64
-	hit   atomic.Int64
+	remaining atomic.Int64 // number of further syncs that fail
+	failed    atomic.Int64 // number of syncs that have failed
 }
 
-type faultyWAL struct {
+type failingSyncWAL struct {
 	vfs.File
-	of *faulty
+	fs *failingSyncVFS
 }
 
-func (f *faulty) OpenFilename(name *vfs.Filename, flags vfs.OpenFlag) (vfs.File, vfs.OpenFlag, error) {
+func (f *failingSyncVFS) OpenFilename(name *vfs.Filename, flags vfs.OpenFlag) (vfs.File, vfs.OpenFlag, error) {
 	file, out, err := f.VFSFilename.OpenFilename(name, flags)
 	if err == nil && name != nil && strings.HasSuffix(name.String(), "-wal") {
-		file = faultyWAL{file, f}
+		file = failingSyncWAL{file, f}
 	}
 	return file, out, err
 }
 
-func (w faultyWAL) Sync(flags vfs.SyncFlag) error {
-	if w.of.fails.Load() > 0 {
-		w.of.fails.Add(-1)
-		w.of.hit.Add(1)
+func (w failingSyncWAL) Sync(flags vfs.SyncFlag) error {
+	if w.fs.remaining.Load() > 0 {
+		w.fs.remaining.Add(-1)
+		w.fs.failed.Add(1)
 		return sqlite3.IOERR_FSYNC
 	}
 	return w.File.Sync(flags)
 }
 
-// The sync of a COMMIT fails: a message that was rejected is not on record, also if the process is killed at that moment,
-// and all that was persisted before is.
-func TestFailedSync(t *testing.T) {
-	usual, ok := vfs.Find("").(vfs.VFSFilename)
+// When the sync of a COMMIT fails, the rejected message is not on record, even if the process is killed at that moment.
+// Everything that was persisted before remains on record. The test guards against a failed transaction that remains
+// complete in the WAL and that the next process reads as committed.
+func TestFailedSyncPersistsNoRejectedMessage(t *testing.T) {
+	defaultVFS, ok := vfs.Find("").(vfs.VFSFilename)
 	if !ok {
-		t.Fatal("the usual file layer has changed")
+		t.Fatal("the default file system does not implement vfs.VFSFilename")
 	}
-	f := &faulty{VFSFilename: usual}
+	f := &failingSyncVFS{VFSFilename: defaultVFS}
 	vfs.Register("faulty", f)
 	defer vfs.Unregister("faulty")
 	for _, fails := range []int64{1, 3, 1 << 40} {
@@ -63,36 +64,36 @@
 		late := make(chan *message.Message, 1)
 		s.OnLate(func(m *message.Message) { late <- m })
 		testkit.Must(t, s.Accept(ctx, storetest.NewMessage("before", 10)))
-		f.fails.Store(fails)
-		within, cancel := context.WithTimeout(ctx, 500*time.Millisecond)
-		err := s.Accept(within, storetest.NewMessage("x", 10))
+		f.remaining.Store(fails)
+		acceptCtx, cancel := context.WithTimeout(ctx, 500*time.Millisecond)
+		err := s.Accept(acceptCtx, storetest.NewMessage("x", 10))
 		cancel()
 		image := t.TempDir()
 		testkit.Must(t, storetest.Image(filepath.Dir(c.Path), image))
-		if f.hit.Load() == 0 {
+		if f.failed.Load() == 0 {
 			t.Fatal("no sync failed")
 		}
-		wanted := store.ErrUnavailable
+		want := store.ErrUnavailable
 		if fails > 100 {
-			wanted = store.ErrUndecided
+			want = store.ErrUndecided
 		}
-		if !errors.Is(err, wanted) {
-			t.Errorf("%d syncs fail: %v, want %v", fails, err, wanted)
+		if !errors.Is(err, want) {
+			t.Errorf("%d failing syncs: got %v, want %v", fails, err, want)
 		}
 		killed, r := mustOpen(t, config(image))
-		if refused := !errors.Is(err, store.ErrUndecided); refused && len(r.Pending) != 1 || len(r.Pending) == 0 || r.Pending[0].ID != "before" {
-			t.Errorf("%d syncs fail: killed, it owes %d", fails, len(r.Pending))
+		if rejected := !errors.Is(err, store.ErrUndecided); rejected && len(r.Pending) != 1 || len(r.Pending) == 0 || r.Pending[0].ID != "before" {
+			t.Errorf("%d failing syncs, after a kill: got %d pending messages, want only before", fails, len(r.Pending))
 		}
 		testkit.Must(t, killed.Close())
-		f.fails.Store(0)
-		testkit.Eventually(t, "takes again", func() bool { return s.Accept(ctx, storetest.NewMessage("y", 10)) == nil })
+		f.remaining.Store(0)
+		testkit.Eventually(t, "messages accepted again", func() bool { return s.Accept(ctx, storetest.NewMessage("y", 10)) == nil })
 		testkit.Must(t, s.Close())
 		if len(late) != 0 {
-			t.Errorf("%d syncs fail: a message that was rolled back was handed over", fails)
+			t.Errorf("%d failing syncs: OnLate received a message that was rolled back", fails)
 		}
 		s, r = mustOpen(t, config(filepath.Dir(c.Path)))
 		if len(r.Pending) != 2 {
-			t.Errorf("%d syncs fail: it owes %d, want before and y", fails, len(r.Pending))
+			t.Errorf("%d failing syncs: got %d pending messages, want before and y", fails, len(r.Pending))
 		}
 		testkit.Must(t, s.Close())
 	}
--- a/internal/store/sqlite/witness.go
+++ b/internal/store/sqlite/witness.go
@@ -9,11 +9,12 @@
 	"os"
 )
 
-// witness is a small file beside the database with the number of its commits. SQLite accepts a truncated WAL as that of a
-// crash, and an older copy of the database as a good one; the messages that are missing would be lost without notice.
+// witness is a small file next to the database that contains the number of its commits. It lets the store detect lost
+// commits: SQLite accepts a truncated WAL, as a crash may leave it, and an older copy of the database as valid, so that the
+// missing messages would be lost without notice.
 //
-// It is written after each commit, with no sync: it survives the process, and may lag
-// behind after a crash of the machine. Its form is magic, commits, machine start and CRC-32.
+// The witness is written after each commit, without a sync. It survives the end of the process, but may lack the last
+// commits after a crash of the machine. Its fields are a magic number, the number of commits, the boot ID and a CRC-32.
 type witness struct{ f *os.File }
 
 const (
@@ -21,7 +22,7 @@
 	witnessSize  = 24
 )
 
-// bootID returns a number that differs with each boot of the machine, and 0 if that is not known.
+// bootID returns a number that identifies the current boot of the machine, or 0 if it is unknown.
 func bootID() uint64 {
 	text, err := os.ReadFile("/proc/sys/kernel/random/boot_id")
 	if err != nil {
@@ -32,7 +33,7 @@
 	return h.Sum64()
 }
 
-// openWitness opens the file and reads it; commits and boot are 0 if it is new or torn.
+// openWitness opens the witness, or creates it, and reads it; commits and boot are 0 if it is new or torn.
 func openWitness(path string) (w *witness, commits int64, boot uint64, err error) {
 	f, err := os.OpenFile(path, os.O_RDWR|os.O_CREATE, 0o600)
 	if err != nil {
@@ -42,7 +43,7 @@
 	return &witness{f: f}, commits, boot, nil
 }
 
-// readWitness reads the file; commits and boot are 0 if it does not exist, is new or torn.
+// readWitness reads the witness; commits and boot are 0 if it does not exist, is new or torn.
 func readWitness(path string) (commits int64, boot uint64) {
 	b, err := os.ReadFile(path)
 	if err != nil || len(b) < witnessSize {
@@ -68,5 +69,5 @@
 
 func (w *witness) close() error { return w.f.Close() }
 
-// errLostCommits is returned for a database with fewer commits than its witness.
+// errLostCommits is returned for a database that has fewer commits than its witness.
 var errLostCommits = errors.New("the database has lost commits")
--- a/internal/store/sqlite/writer.go
+++ b/internal/store/sqlite/writer.go
@@ -8,14 +8,14 @@
 	"wingmount/internal/store/group"
 )
 
-// overwriteInterval is between two attempts to overwrite a transaction whose COMMIT failed.
+// overwriteInterval is the pause between two attempts to overwrite a transaction whose COMMIT failed.
 const overwriteInterval = 20 * time.Millisecond
 
-// Begin implements [group.Backend]. A segment of ids that is full is sealed first.
+// Begin implements [group.Backend]. If the open segment of ids is full, Begin seals it first.
 func (s *backend) Begin() error {
 	if s.ids.recent.len() >= s.ids.segmentSize {
-		// The lowest number of a message that may complete from now on: of an unfinished message, or a later one.
-		next, err := number(s.conn, "SELECT coalesce((SELECT min(seq) FROM message), (SELECT seq + 1 FROM sqlite_sequence WHERE name = 'message'), 0)")
+		// The lowest seq that can complete from now on: that of the first unfinished message or, without any, the next seq.
+		next, err := queryInt(s.conn, "SELECT coalesce((SELECT min(seq) FROM message), (SELECT seq + 1 FROM sqlite_sequence WHERE name = 'message'), 0)")
 		if err != nil {
 			return err
 		}
@@ -26,7 +26,7 @@
 	return s.begin()
 }
 
-// begin begins a transaction that writes.
+// begin begins a write transaction.
 func (s *backend) begin() error {
 	if err := s.conn.Exec("BEGIN IMMEDIATE"); err != nil {
 		return err
@@ -56,13 +56,13 @@
 	s.ids.commit()
 	_ = afterCommit.At() // the records are persisted, so an injected error changes nothing
 	if err := s.witness.write(s.commits, s.bootID); err != nil {
-		s.log.Warn("store: witness not written", "err", err) // a later loss of commits may not be detected
+		s.log.Warn("store: writing the witness failed", "err", err) // a later loss of commits may not be detected
 	}
 	_ = afterWitness.At()
 	return results, nil
 }
 
-// write writes records and commits. It sets the results of the messages that are not accepted.
+// write writes the records of a batch and commits. For each message that is not accepted it sets the record's result.
 func (s *backend) write(batch []*group.Record, results []error) error {
 	free, err := s.freePages()
 	if err != nil {
@@ -100,27 +100,27 @@
 	return nil
 }
 
-// unresolvedCommitError is the error of a COMMIT. SQLite has rolled back, but if only the sync failed, the complete
-// transaction may be in the WAL until another one overwrites it: a process that starts after a kill in between would read
-// it as committed.
+// unresolvedCommitError is the error of a failed COMMIT. SQLite has rolled the transaction back, but if only the sync
+// failed, the complete transaction may be in the WAL until another one overwrites it. If this process is killed before
+// that, the next process would read the transaction as committed.
 type unresolvedCommitError struct{ error }
 
 func (u unresolvedCommitError) Unwrap() error { return u.error }
 
-// overwrite commits another transaction over one whose COMMIT failed, so that certainly nothing of that is persisted. It
-// adds a microsecond to the latest time, since SQLite writes nothing for a transaction without a change. It tries until
-// the store closes, and returns [store.ErrUndecided] then.
-func (s *backend) overwrite(why error) error {
+// overwrite commits another transaction over the one whose COMMIT failed, so that no part of the failed one is persisted,
+// and then returns the cause. It adds a microsecond to the latest time, because SQLite writes nothing for a transaction
+// without a change. It retries until the time that Closing has set, and then returns [store.ErrUndecided].
+func (s *backend) overwrite(cause error) error {
 	for {
 		err := s.conn.Exec("BEGIN IMMEDIATE; UPDATE meta SET latest = latest + 1; COMMIT")
 		if err == nil {
-			return why
+			return cause
 		}
 		if !s.conn.GetAutocommit() {
 			err = s.rollback(err)
 		}
 		if by := s.closing.Load(); by != nil && time.Now().After(*by) {
-			return fmt.Errorf("%w: %w", store.ErrUndecided, errors.Join(why, err))
+			return fmt.Errorf("%w: %w", store.ErrUndecided, errors.Join(cause, err))
 		}
 		time.Sleep(overwriteInterval)
 	}
@@ -129,7 +129,7 @@
 // Closing implements [group.Backend]. It is safe for concurrent use.
 func (s *backend) Closing(by time.Time) { s.closing.Store(&by) }
 
-// freePages returns how many pages may still be filled.
+// freePages returns the number of pages that can still be filled.
 func (s *backend) freePages() (int64, error) {
 	if s.cfg.MaxBytes == 0 {
 		return 1 << 40, nil
@@ -145,4 +145,5 @@
 	return s.cfg.MaxBytes/pageBytes - pages + free, nil
 }
 
-func (s *backend) rollback(why error) error { return errors.Join(why, s.conn.Exec("ROLLBACK")) }
+// rollback rolls the transaction back and returns the cause, joined with the error of the rollback.
+func (s *backend) rollback(cause error) error { return errors.Join(cause, s.conn.Exec("ROLLBACK")) }
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -1,17 +1,19 @@
-// Package store is the contract of a store of record: the messages that a node has accepted, the attempts that were made
-// for them, and the one final response of each.
+// Package store defines the contract of a store of record. A store persists the messages that a node has accepted, the
+// attempts to send them, and the one final response of each message.
 //
-// A store promises that a node which restarts finds every message whose [Store.Accept] returned nil and whose response
-// was not notified, with an attempt on record for every call of which a byte may have been sent, and that a message
-// which is completed on record is never unfinished again. Records of one message are applied in the order of their
-// calls; a crash loses at most a tail of those that have not returned, or that are documented as ordered and not yet
-// durable.
+// A store guarantees the following:
+//   - A restarted node recovers every message whose [Store.Accept] returned nil and whose response was not notified.
+//   - The recovered history of a message has an attempt for every call of which a byte may have been sent.
+//   - A message that is completed on record never becomes unfinished again.
+//   - Records of one message are applied in the order of their calls. A crash loses at most a tail of the records whose calls
+//     have not returned, or that are documented as ordered but not yet durable.
 //
 // # Concurrency
 //
-// Every method may block on a disk or a network, so the engine's goroutine calls none. All are safe for concurrent use.
+// Every method may block on a disk or a network, so the engine's goroutine calls none of them. All methods are safe for
+// concurrent use.
 //
-// Start reading at [Store]. The implementations are in the packages beside this one; storetest has the suite that each
+// Start reading at [Store]. The implementations are in the subpackages; storetest contains the conformance suite that each
 // of them passes.
 package store
 
@@ -25,52 +27,52 @@
 )
 
 var (
-	// ErrFull rejects a message for which the store has no capacity.
+	// ErrFull rejects a message because the store has no capacity for it.
 	ErrFull = errors.New("the store is full")
-	// ErrKeyExpired rejects an attempt at a message that may have run: its destination does not deduplicate by the key any
-	// more.
-	ErrKeyExpired = errors.New("the destination has forgotten the key")
+	// ErrKeyExpired rejects an attempt at a message that may have run, because its destination no longer deduplicates by the
+	// message's key.
+	ErrKeyExpired = errors.New("the destination no longer deduplicates by the message's key")
 	// ErrCompleted rejects an attempt at a message whose final response is on record.
-	ErrCompleted = errors.New("the message is over")
-	// ErrFenced rejects everything once the messages of this node belong to another node, or to a newer process of the same
-	// name: nothing may be accepted, sent or notified for them any more.
+	ErrCompleted = errors.New("the message is already completed")
+	// ErrFenced rejects every call once another node, or a newer process of the same name, owns this node's messages: this
+	// process must no longer accept messages, send them or notify their responses.
 	ErrFenced = errors.New("the messages belong to another node")
-	// ErrUndecided is returned if it is not known in time whether a message was accepted. If it was, it is unfinished like
-	// any other, and is passed on by [Late].
-	ErrUndecided = errors.New("whether the message is on record is not known yet")
-	// ErrUnavailable is returned if the store can't be reached, is locked or does not answer.
+	// ErrUndecided is returned if the store could not determine in time whether a message was accepted. An accepted message
+	// is then unfinished like any other, and is passed to the function of [Late].
+	ErrUndecided = errors.New("unknown whether the message is on record")
+	// ErrUnavailable is returned if the store can't be reached, is locked or does not respond.
 	ErrUnavailable = errors.New("the store is not available")
 )
 
-// DuplicateError rejects a message whose id is on record: a duplicate is never accepted.
+// DuplicateError rejects a message whose id is already on record.
 type DuplicateError struct {
-	Response *message.FinalResponse // nil while it is unfinished
+	Response *message.FinalResponse // nil if the message on record is unfinished
 }
 
 func (e *DuplicateError) Error() string {
 	if e.Response == nil {
-		return "the message is on record and runs"
+		return "duplicate id: the message on record is unfinished"
 	}
-	return "the message is on record as " + e.Response.Kind.String()
+	return "duplicate id: the message on record is completed as " + e.Response.Kind.String()
 }
 
-// Attempt is one call that is about to be made, for one message or a batch.
+// Attempt describes a call that is about to send one message or a batch.
 type Attempt struct {
 	Endpoint string
 	Zone     int
-	At       time.Time // of the first byte
-	Until    time.Time // when the call is given up at the latest
+	At       time.Time // when the first byte is sent
+	Until    time.Time // latest time at which the call is abandoned
 	Messages []*message.Message
 }
 
-// Outcome is how the attempt at one message ended.
+// Outcome is the result of the attempt at one message.
 type Outcome struct {
 	Message  *message.Message
 	Outcome  policy.Outcome
 	Endpoint string
 	At       time.Time
-	// CompletesUndelivered is set if the message is completed though it was not delivered: it gets no further attempt, and
-	// its client is not notified.
+	// CompletesUndelivered is set if the message is completed although it was not delivered. It gets no further attempt,
+	// and its client is not notified.
 	CompletesUndelivered bool
 }
 
@@ -80,44 +82,45 @@
 	Response message.FinalResponse
 }
 
-// EndpointHealth is what is on record of an endpoint, for the next process of the node.
+// EndpointHealth is the recorded state of an endpoint, which the node's next process recovers.
 type EndpointHealth struct {
-	CallTimes   []time.Time // one for a batch, oldest first
+	CallTimes   []time.Time // one for each call, also of a batch; oldest first
 	FailedAt    time.Time   // the last failure
-	RecoveredAt time.Time   // the first success since, zero while there is none
+	RecoveredAt time.Time   // the first success after FailedAt, zero if there is none
 }
 
-// Names are those of classes and availability zones, by the numbers that stand for them in records.
+// Names are the names of classes and availability zones. Records contain their indexes instead.
 type Names struct{ Classes, Zones []string }
 
-// Extend returns the names with those appended that are missing: a number that was assigned keeps its meaning, in
-// whichever order a later configuration has the names.
+// Extend returns n with the missing names of more appended. An index that was assigned keeps its meaning, regardless of the
+// order of the names in a later configuration.
 func (n Names) Extend(more Names) Names {
-	add := func(have, more []string) []string {
-		have = slices.Clone(have)
+	extend := func(names, more []string) []string {
+		names = slices.Clone(names)
 		for _, name := range more {
-			if !slices.Contains(have, name) {
-				have = append(have, name)
+			if !slices.Contains(names, name) {
+				names = append(names, name)
 			}
 		}
-		return have
+		return names
 	}
-	return Names{Classes: add(n.Classes, more.Classes), Zones: add(n.Zones, more.Zones)}
+	return Names{Classes: extend(n.Classes, more.Classes), Zones: extend(n.Zones, more.Zones)}
 }
 
-// Lists returns the names by kind, as stores persist them: 0 classes, 1 availability zones.
+// Lists returns the lists of names, indexed by the kind that stores persist: 0 for classes, 1 for availability zones.
 func (n *Names) Lists() []*[]string { return []*[]string{&n.Classes, &n.Zones} }
 
 // Recovered is the content of a store when it is opened.
 type Recovered struct {
-	// Pending are the messages whose responses were not notified, in the order in which they were accepted. Those with a
-	// FinalResponse only have to be notified, and of them only ID, Seq, Destination and FinalResponse are certain to be
-	// set. Of the others an attempt that was outstanding counts as one that may have run.
+	// Pending contains the messages whose responses were not notified, in the order in which they were accepted. A message
+	// with a FinalResponse only needs to be notified; only its ID, Seq, Destination and FinalResponse are guaranteed to be
+	// set. In the history of any other message, an attempt that was outstanding counts as one that may have run.
 	Pending []*message.Message
-	// EndpointHealth is by the names of endpoints.
+	// EndpointHealth is the health of endpoints by name.
 	EndpointHealth map[string]*EndpointHealth
-	// Names are the names on record, extended by those that the store was opened with: they define the numbers of classes
-	// and zones in all calls. Other nodes, or earlier processes, may have names here that this one does not use.
+	// Names are the names on record, extended by the names with which the store was opened. They define the indexes of
+	// classes and zones in all calls. They may include names of other nodes or earlier processes that this process does not
+	// use.
 	Names Names
 }
 
@@ -132,16 +135,16 @@
 	return unfinished
 }
 
-// The states of an [Entry], as operators read them.
+// The states of an [Entry], as shown to operators.
 const (
 	StateRunning  = "running" // without a final response
 	StatePending  = "owed"    // with a final response that was not notified
 	StateNotified = "told"    // with a final response that was notified, or needs no notification
 )
 
-// Entry is what is on record of one message, for operators.
+// Entry describes the record of one message for operators.
 type Entry struct {
-	Seq         int64      `json:"seq,omitempty"` // 0 if it is not on record
+	Seq         int64      `json:"seq,omitempty"` // 0 if the number is not on record
 	ID          string     `json:"id"`
 	Node        string     `json:"node,omitempty"` // the owner, if nodes share the store
 	State       string     `json:"state"`          // StateRunning, StatePending or StateNotified
@@ -158,85 +161,91 @@
 	Notified    *time.Time `json:"told,omitempty"`
 }
 
-// Store is a store of record. What a call changes of its messages (Seq, History, FinalResponse) it changes before it
-// returns, and nobody else changes it.
+// Store is a store of record. A call changes fields of its messages (Seq, History, FinalResponse) only before it returns,
+// and only the store changes these fields.
 type Store interface {
-	// Accept persists a new message and numbers it. The message is durable when Accept returns nil; otherwise it is not
-	// accepted, and no later process finds it. Ingresses call it before they answer a client. It returns
+	// Accept persists a new message and assigns its sequence number. The message is durable when Accept returns nil;
+	// otherwise it is not accepted, and no later process recovers it (but see ErrUndecided). Ingresses call it before they
+	// respond to a client. It returns
 	//   - a [DuplicateError] if the id is on record, of an unfinished message or of a response that is still retained,
-	//   - ErrFull if there is no capacity for all that the message may need until its response is notified,
-	//   - ErrUnavailable if it could not be persisted before the context ended,
-	//   - ErrFenced once the messages of this node belong to another one,
-	//   - ErrUndecided, from a store that is [Late], if that is not known by then.
+	//   - ErrFull if there is no capacity for all records that the message may need until its response is notified,
+	//   - ErrUnavailable if the message could not be persisted before the context ended,
+	//   - ErrFenced once another node owns this node's messages,
+	//   - ErrUndecided, from a store that implements [Late], if it is unknown when the context ends whether the message is
+	//     persisted.
 	Accept(ctx context.Context, m *message.Message) error
-	// RecordAttempt persists that messages are about to be sent in one call. The attempt is durable when RecordAttempt
-	// returns nil; otherwise the call must not be made, though the attempt may count all the same. Carriers call it before
-	// the first byte. It returns ErrCompleted if one of the messages is completed, and ErrKeyExpired if one may not be
-	// sent at that time any more: then none has an attempt. Otherwise its errors are those of Complete.
+	// RecordAttempt persists that messages are about to be sent in one call. Carriers call it before they send the first
+	// byte. The attempt is durable when RecordAttempt returns nil. After an error the call must not be made, although the
+	// attempt may still become part of the record. RecordAttempt returns ErrCompleted if one of the messages is completed,
+	// and ErrKeyExpired if one must no longer be sent at that time; in both cases no attempt is recorded for any of them.
+	// Its other errors are those of Complete.
 	RecordAttempt(ctx context.Context, a Attempt) error
-	// RecordOutcome persists how an attempt ended. It is ordered before all later calls when it returns; until a barrier,
-	// see [Store.Complete], has returned nil, a crash may lose it: then the message may have run. Delivered is a final
-	// response, and durable when RecordOutcome returns nil; a store that notifies deliveries sets FinalResponse, and the
-	// message is pending until MarkNotified. Its errors are those of Complete.
+	// RecordOutcome persists the outcome of an attempt. When it returns, the outcome is ordered before all later calls. A
+	// crash may lose it until a barrier (see [Store.Complete]) has returned nil; the message then counts as one that may
+	// have run. The outcome Delivered is a final response, and is durable when RecordOutcome returns nil. A store that
+	// notifies deliveries then sets FinalResponse, and the message is pending until MarkNotified. Its errors are those of
+	// Complete.
 	RecordOutcome(ctx context.Context, o Outcome) error
-	// Complete persists final responses. They are durable when Complete returns nil, and only then may they be notified. A
-	// message that is completed keeps its first response: FinalResponse is set by the call that completed it, and stays
-	// nil if nothing is to be notified. Without completions it is a barrier: when it returns nil, the store has persisted
-	// all earlier calls.
+	// Complete persists final responses. They are durable when Complete returns nil, and must not be notified before that.
+	// A completed message keeps its first response: the call that completes the message sets FinalResponse, which remains
+	// nil if the client is not notified. Without completions, Complete is a barrier: when it returns nil, the store has
+	// persisted all earlier calls.
 	//
-	// It returns ErrFenced once the messages of this node belong to another one, which decides their final responses: those
-	// that were not persisted and not notified as implied are nil again. It returns ErrUnavailable if the context ended before
-	// it was known that they are durable, and they may still become so, and another error if the store is closed or can't
-	// write. A store that retries a failed write returns only when it has succeeded, the context has ended or the store closes.
+	// Complete returns ErrFenced once another node owns this node's messages. That node decides their final responses, so
+	// FinalResponse is reset to nil unless the response was persisted or was notified as implied. Complete returns
+	// ErrUnavailable if the context ended before the responses were known to be durable; they may still become durable. It
+	// returns another error if the store is closed or can't write. A store that retries failed writes returns only when the
+	// write has succeeded, the context has ended or the store closes.
 	Complete(ctx context.Context, completions ...Completion) error
-	// MarkNotified records that final responses were notified, and that their messages are not pending any more. It is
-	// ordered when it returns, as RecordOutcome is: if it is lost, the responses are notified again.
-	// It returns ErrFenced once the messages of this node belong to another one, and another error if the store is closed or
-	// can't write.
+	// MarkNotified records that final responses were notified and their messages are no longer pending. It is ordered when
+	// it returns, like RecordOutcome; if a crash loses the record, the responses are notified again. It returns ErrFenced
+	// once another node owns this node's messages, and another error if the store is closed or can't write.
 	MarkNotified(ctx context.Context, ms ...*message.Message) error
-	// Close makes everything durable and releases the store. No call may follow it.
+	// Close makes all records durable and releases the store. No other method may be called after it.
 	Close() error
 }
 
 // Late is a store that can persist a message after its Accept has returned [ErrUndecided].
 type Late interface {
-	// OnLate sets the function that receives such messages, each once. It is called before the first Accept; without it,
-	// Accept waits until it knows.
+	// OnLate sets the function that receives these messages, each once. It must be called before the first Accept. Without
+	// a function, Accept waits until it is known whether the message is persisted.
 	OnLate(func(*message.Message))
 }
 
-// Finder is a store that can look up an id without a record of its own.
+// Finder is a store that can look up a message id without writing a record.
 type Finder interface {
-	// Find returns a [DuplicateError] if the id of a message is on record, as [Store.Accept] would, and nil if it is not
-	// and no earlier Accept of it can persist it any more. Any other error means that this is not known.
+	// Find returns a [DuplicateError] if the id is on record, as [Store.Accept] would. It returns nil if the id is not on
+	// record and no earlier Accept of it can still persist it. Any other error means that neither could be determined.
 	Find(ctx context.Context, id string) error
 }
 
-// Shared is a store that several nodes use. Each owns its messages by a lease; the messages of a node whose lease has
-// expired are adopted by the other nodes, while they run.
+// Shared is a store that several nodes share. Each node owns its messages by a lease. When a node's lease expires, the
+// running nodes take over its messages.
 type Shared interface {
-	// OnTakeover sets how many more messages the node has capacity for, and the function that receives what another node
-	// left: unfinished messages, responses to notify, and the health of endpoints. Each message is passed once, to one
-	// node. It is called before the first Accept; without it there is no takeover.
+	// OnTakeover sets two functions: capacity returns how many more messages the node can take over, and adopt receives the
+	// unfinished messages, the responses to notify and the health of endpoints of a node whose lease has expired. Each
+	// message is passed once, to one node. OnTakeover must be called before the first Accept; without it, the node takes
+	// over no messages.
 	OnTakeover(capacity func() int, adopt func(Recovered))
-	// OnImplied sets the function that receives responses that are notified without a record of their own, while the store
-	// can't be reached. A message whose deadline passes within its owner's lease, and that has no response on record when
-	// the lease expires, has failed: every later owner decides so. So the owner may notify it as well, after the
-	// deadline. Such a response is marked Implied.
+	// OnImplied sets the function that receives messages whose final responses are notified without being on record,
+	// while the store can't be reached. If a message's deadline passes within its owner's lease and it has no response on
+	// record when the lease expires, it has failed: every later owner decides this. Its owner may therefore notify the
+	// failure too, after the deadline. Such a response is marked Implied.
 	OnImplied(func(*message.Message))
-	// Owned reports whether the lease is valid by this process's own clock. A process that was paused checks it before an
-	// act that it persisted earlier, such as the first byte of a call. It replaces no record: those fail in the store.
+	// Owned reports whether the lease is valid by this process's own clock. Because a process may have been paused, it
+	// checks Owned before it acts on an earlier record, for example before it sends the first byte of a call. Owned is not
+	// needed before writing records: the store rejects records of a node whose lease was lost.
 	Owned() bool
-	// Lost is closed once the messages of this process belong to another one: all that is left is to end.
+	// Lost returns a channel that is closed once another process owns this process's messages. The process must then exit.
 	Lost() <-chan struct{}
 }
 
-// beyondKeyWindow is an age at which each destination has expired a key.
+// beyondKeyWindow is an age at which the key of a message has expired at every destination.
 const beyondKeyWindow = 1000 * time.Hour
 
-// Rebase corrects the recovered times if the clock was set back: latest is the latest time on record, and normally now is
-// after it. For how long the node was away is not known then. No message gets more time than it had left, and the key
-// of a message that may have run counts as expired.
+// Rebase adjusts the recovered times if the clock was set back. Normally now is after latest, the latest time on record.
+// If it is not, the length of the node's downtime is unknown: no message gets more time than it had left, and the key of a
+// message that may have run counts as expired.
 func (r *Recovered) Rebase(latest, now time.Time) {
 	back := latest.Sub(now)
 	if back <= 0 {
