--- a/cmd/wingmount/kill_test.go
+++ b/cmd/wingmount/kill_test.go
@@ -202,7 +202,7 @@
 // passesPoint reports whether a node with a store passes a failure point under the traffic of a killTest.
 func passesPoint(store, point string) bool {
 	switch {
-	case strings.Contains(point, "backup"): // nodes make none: TestKilledDuringBackup
+	case strings.Contains(point, "backup"): // nodes make none: TestCrashDuringBackupLeavesNoBackupFile
 		return false
 	case point == "store/sqlite/during-seal": // comes after 65,536 responses: the store's own suite has small segments
 		return false
--- a/internal/store/frame/frame.go
+++ b/internal/store/frame/frame.go
@@ -19,9 +19,9 @@
 
 var (
 	// ErrTorn is returned by Next if the data ends inside a frame.
-	ErrTorn = errors.New("incomplete frame at the end of the data")
+	ErrTorn = errors.New("the data ends inside a frame")
 	// ErrChecksum is returned by Next if the payload or its checksum was corrupted.
-	ErrChecksum = errors.New("frame checksum does not match its payload")
+	ErrChecksum = errors.New("the checksum of a frame does not fit its payload")
 )
 
 // castagnoli is the CRC-32C table.
--- a/internal/store/group/record.go
+++ b/internal/store/group/record.go
@@ -30,7 +30,7 @@
 	WithoutNotification bool
 	Endpoint            string
 	At                  time.Time
-	Until               time.Time             // when the call is given up at the latest
+	Until               time.Time             // latest time at which the call is abandoned
 	EndpointHealth      *store.EndpointHealth // the endpoint's new health, nil if it did not change
 
 	state     recordState // guarded by the queue
