--- a/internal/control/agent.go
+++ b/internal/control/agent.go
@@ -15,27 +15,27 @@
 	"wingmount/internal/clusterspec"
 )
 
-// AgentConfig configures a node's agent. A zero field has its default.
+// AgentConfig configures a node's agent. Fields left zero get defaults.
 type AgentConfig struct {
 	Node      placement.NodeID
 	Addresses []string // HOST:PORT of control machines, tried in turn
-	// StateFile keeps the highest incarnation seen and the process id, and is locked while the agent runs. With it the
-	// assignments of a killed process are free as soon as the node is back; without it, when the lease has run out.
+	// StateFile stores the highest incarnation seen and the process id, and is locked while the agent runs. With it, the
+	// assignments of a killed process are released as soon as the node restarts; without it, when the lease expires.
 	StateFile string
-	// Apply puts changed assignments in force. Calls come one at a time and in order. The agent confirms them to the
+	// Apply applies changed assignments. It is called sequentially, in order. The agent confirms the assignments to the
 	// control machine once Apply returns, so Apply must be quick. It may call the agent.
 	Apply func(Update)
-	// ReceiveConfigs reports that the node has no destinations in its own settings: the control machine sends it the
-	// configs of those that are assigned to it.
+	// ReceiveConfigs means that the node has no destinations in its own settings: the control machine sends it the
+	// configs of its assigned destinations.
 	ReceiveConfigs bool
-	// LeaseChanged is called when the lease has begun or ended; LeaseValid reports it without delay. Calls come one
-	// at a time, and not while Apply runs. The assignments of a new lease are applied before.
+	// LeaseChanged is called after the lease has begun or ended; LeaseValid reports the change without delay. It is
+	// called sequentially, and not while Apply runs. The assignments of a new lease are applied before the call.
 	LeaseChanged func(valid bool)
-	// PollWait is how long a poll waits for an update, 3 s if zero; a third of the lease at most.
+	// PollWait is how long a poll waits for an update, 3 s if zero. It is limited to a third of the lease.
 	PollWait       time.Duration
-	OwnerCacheTTL  time.Duration // how long answers of Locate are cached, 5 s if zero
-	OwnerCacheSize int           // the largest number of cached answers, 4096 if zero
-	// Transport sends the requests; nodes of one process may share one. Nil stands for a transport of the agent's own.
+	OwnerCacheTTL  time.Duration // how long results of Locate are cached, 5 s if zero
+	OwnerCacheSize int           // the maximum number of cached results, 4096 if zero
+	// Transport sends the requests; nodes of one process may share one. If nil, the agent creates its own.
 	Transport http.RoundTripper
 	Log       *slog.Logger
 	clock     func() clockValues
@@ -73,20 +73,21 @@
 	return c
 }
 
-// Update is what a poll has changed.
+// Update describes the changes that a poll received.
 type Update struct {
 	lease.Update
-	// Configs are those of assigned destinations that have changed or may have: see AgentConfig.ReceiveConfigs.
+	// Configs contains configs of assigned destinations, including all that have changed; some may be unchanged. It is
+	// empty unless AgentConfig.ReceiveConfigs is set.
 	Configs []clusterspec.DestinationConfig
 }
 
-// Agent keeps a node's lease and its assignments. Its methods may be called from any goroutine.
+// Agent maintains a node's lease and its assignments. Its methods may be called from any goroutine.
 type Agent struct {
 	config AgentConfig
 	client *client
 	owners *ownerCache
 	state  agentState
-	lock   *os.File // of the state file, nil without one
+	lock   *os.File // of the state file; nil if there is no state file
 
 	callbacks     sync.Mutex // locked while Apply or LeaseChanged runs
 	reportedValid bool       // the latest argument of LeaseChanged; guarded by callbacks
@@ -95,23 +96,24 @@
 	clock         *clock
 	holder        *lease.Holder
 	duration      time.Duration      // of the latest lease
-	cancelPoll    context.CancelFunc // cancels the poll in progress; nil if it must not be
-	pollBegan     time.Time          // of the poll in progress
-	reportPending bool               // there is something to report that the poll in progress does not
+	cancelPoll    context.CancelFunc // cancels the poll in progress; nil if no poll may be canceled
+	pollBegan     time.Time          // start of the poll in progress
+	reportPending bool               // there are changes to report that the poll in progress does not include
 }
 
-// agentState is what an agent keeps on disk.
+// agentState is the content of an agent's state file.
 type agentState struct {
 	Incarnation lease.Incarnation `json:"incarnation"`
 	Process     lease.ProcessID   `json:"process"`
 }
 
 // ErrAgent reports an AgentConfig that lacks a required field.
-var ErrAgent = errors.New("an agent needs the name of a node and an address of a control process")
+var ErrAgent = errors.New("agent config requires a node name and an address of a control process")
 
-// NewAgent returns an agent without a lease. The caller has to call Run. It returns ErrAgent for a config without a
-// required field, ErrLocked if another agent has the state file, and an error if that file can't be read, decoded or
-// written. Without a state file nothing is locked, and the next process of the node does not replace this one.
+// NewAgent returns an agent without a lease. The caller must call Run. It returns ErrAgent if config lacks a required
+// field, ErrLocked if another agent has locked the state file, and an error if that file can't be read, decoded or
+// written. Without a state file nothing is locked, and the node's next process cannot take over this one's assignments
+// before its lease expires.
 func NewAgent(config AgentConfig) (*Agent, error) {
 	config = config.withDefaults()
 	if config.Node == "" || len(config.Node) > lease.MaxNameLength || len(config.Addresses) == 0 {
@@ -159,8 +161,8 @@
 	return previous, nil
 }
 
-// Run polls until the context ends, and then gives up the lease. The node must have stopped sending by then. Apply and
-// LeaseChanged are not called once Run has returned.
+// Run polls until the context is done, and then gives up the lease. The node must have stopped sending by then. Apply
+// and LeaseChanged are not called after Run has returned.
 func (a *Agent) Run(ctx context.Context) error {
 	defer a.client.close()
 	expiry := time.AfterFunc(time.Hour, a.reportLease)
@@ -182,7 +184,7 @@
 		failures++
 		a.config.Log.Warn("control: lease not renewed", "node", a.config.Node, "err", err)
 		if rounds := failures / len(a.config.Addresses); failures%len(a.config.Addresses) == 0 {
-			pause(ctx, backoff(rounds)) // all addresses have failed
+			pause(ctx, backoff(rounds)) // every address has failed once more
 		}
 	}
 	expiry.Stop()
@@ -212,13 +214,14 @@
 	}
 }
 
-// untilExpired returns the time after which the lease has ended, false without a lease. The caller holds mu.
+// untilExpired returns the delay after which the lease has expired, with a margin of 1 ms, and whether the lease is
+// valid now. The caller holds mu.
 func (a *Agent) untilExpired() (time.Duration, bool) {
 	now := a.clock.now()
 	return a.holder.Expiry() - now + time.Millisecond, a.holder.Valid(now)
 }
 
-// closeLease gives up the lease and notifies the control machine.
+// closeLease gives up the lease and closes the session at the control machine.
 func (a *Agent) closeLease() {
 	a.mu.Lock()
 	request := a.holder.Close(a.clock.now())
@@ -239,7 +242,7 @@
 	return a.holder.Valid(a.clock.now())
 }
 
-// LeaseRemaining returns how long the lease is still valid, 0 without a lease.
+// LeaseRemaining returns the time until the lease expires, 0 without a valid lease.
 func (a *Agent) LeaseRemaining() time.Duration {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -257,7 +260,7 @@
 	return a.holder.Assignment(destination)
 }
 
-// Quota returns the part of a destination's limit, 0 to 1, that the node may use now; 0 without a valid lease.
+// Quota returns the fraction of a destination's limit, 0 to 1, that the node may use now; 0 without a valid lease.
 func (a *Agent) Quota(destination placement.DestinationID) float64 {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -271,8 +274,8 @@
 	return a.holder.Len()
 }
 
-// ReportUnfinished reports destinations for which the node has accepted messages, as at its start. Those without an
-// assignment get a quota to finish with.
+// ReportUnfinished reports destinations for which the node has accepted messages that are not finished, for instance
+// when it starts. If such a destination is not assigned to the node, the node gets a quota to finish these messages.
 func (a *Agent) ReportUnfinished(destinations ...placement.DestinationID) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -280,8 +283,9 @@
 	a.requestReport()
 }
 
-// Release reports that the node has nothing unfinished for a destination that it no longer accepts messages for. Its
-// quota is 0 from now on. Release returns false, and changes nothing, if the node accepts messages for it.
+// Release reports that the node has no unfinished messages for a destination, for which it no longer accepts messages.
+// The node's quota of the destination is 0 from then on. Release returns false, and changes nothing, if the node still
+// accepts messages for the destination.
 func (a *Agent) Release(destination placement.DestinationID) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -292,8 +296,8 @@
 	return true
 }
 
-// Locate returns the owners of a destination and their addresses, as they were at most OwnerCacheTTL ago. It returns
-// ErrUnknownDestination if the spec has no such destination.
+// Locate returns the owners of a destination and their addresses, at most OwnerCacheTTL out of date. It returns
+// ErrUnknownDestination if the cluster spec does not contain the destination.
 func (a *Agent) Locate(ctx context.Context, destination placement.DestinationID) ([]Owner, error) {
 	if owners, ok := a.owners.get(destination, time.Now()); ok {
 		return owners, nil
--- a/internal/control/agent_poll.go
+++ b/internal/control/agent_poll.go
@@ -9,16 +9,16 @@
 	"wingmount/internal/clusterspec"
 )
 
-// Times of an agent's polls.
+// Timing of an agent's polls.
 const (
-	// minPollInterval is the shortest time from the beginning of a poll to that of the next one.
+	// minPollInterval is the minimum time between the starts of two polls.
 	minPollInterval = 200 * time.Millisecond
-	// The pause after a failure is minBackoff/2, and a random part of a span that doubles from minBackoff up to
-	// maxBackoff: from 100 ms to just under 2.1 s.
+	// The pause after a failure is minBackoff/2 plus a random part of a span that doubles from minBackoff up to
+	// maxBackoff: at least 100 ms, and less than 2.1 s.
 	minBackoff = 200 * time.Millisecond
 	maxBackoff = 2 * time.Second
-	// replyTimeout is how long a reply may take beyond the wait of its poll, and completeReplyTimeout if it has all
-	// assignments.
+	// replyTimeout is how long a reply may take in addition to the wait of its poll. completeReplyTimeout is the limit
+	// for a reply that contains all assignments.
 	replyTimeout         = 2 * time.Second
 	completeReplyTimeout = 10 * time.Second
 	closeTimeout         = time.Second
@@ -26,17 +26,17 @@
 	renewalsPerLease = 3
 )
 
-// maxBackoffShift keeps the shift in backoff from overflowing.
+// maxBackoffShift prevents overflow of the shift in backoff.
 const maxBackoffShift = 8
 
-// backoff returns the pause after a number of rounds of failures in a row: exponential, and random so that nodes that
-// fail together do not come back together.
+// backoff returns the pause after a number of consecutive rounds of failures. It grows exponentially, with jitter so
+// that nodes that fail together do not retry together.
 func backoff(rounds int) time.Duration {
 	spread := min(maxBackoff, minBackoff<<min(rounds, maxBackoffShift))
 	return minBackoff/2 + rand.N(spread)
 }
 
-// pause waits for a duration or until the context ends.
+// pause waits for a duration or until the context is done.
 func pause(ctx context.Context, duration time.Duration) {
 	if duration <= 0 {
 		return
@@ -49,7 +49,7 @@
 	}
 }
 
-// poll renews the lease once and applies what the reply changes.
+// poll renews the lease once and applies the changes in the reply.
 func (a *Agent) poll(ctx context.Context) error {
 	request, wait := a.nextRequest()
 	ctx, cancel := context.WithTimeout(ctx, pollTimeout(request, wait))
@@ -60,7 +60,7 @@
 	reply, err := a.client.renew(ctx, pollRequest{Request: request, Configs: a.config.ReceiveConfigs}, wait)
 	a.pollFinished()
 	if errors.Is(ctx.Err(), context.Canceled) {
-		return nil // there is something to report, or Run ends
+		return nil // there are changes to report, or Run is ending
 	}
 	if err != nil {
 		return err
@@ -68,16 +68,16 @@
 	return a.handleReply(reply)
 }
 
-// pollTimeout returns how long the reply to a request may take whose poll waits.
+// pollTimeout returns how long the reply to a poll may take if the poll may wait for an update.
 func pollTimeout(request lease.Request, wait time.Duration) time.Duration {
-	if request.AppliedVersion == 0 { // the reply has all assignments
+	if request.AppliedVersion == 0 { // the reply contains all assignments
 		return wait + completeReplyTimeout
 	}
 	return wait + replyTimeout
 }
 
-// nextRequest returns the next request and how long its poll may wait. A request that reports does not wait and is not
-// canceled, so that every second poll is answered however much there is to report.
+// nextRequest returns the next request and how long its poll may wait. A request that contains a report does not wait
+// and is not canceled, so that at least every second poll is answered, no matter how often the node reports.
 func (a *Agent) nextRequest() (lease.Request, time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -90,22 +90,22 @@
 	return a.holder.Renew(now), wait
 }
 
-// pollStarted notes that a poll is in progress that may be canceled.
+// pollStarted records that a poll is in progress that may be canceled.
 func (a *Agent) pollStarted(cancel context.CancelFunc) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.cancelPoll, a.pollBegan = cancel, time.Now()
 }
 
-// pollFinished notes that no poll is in progress.
+// pollFinished records that no poll is in progress.
 func (a *Agent) pollFinished() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.cancelPoll = nil
 }
 
-// requestReport has the next poll report, and cancels a poll that waits once minPollInterval has passed, since more to
-// report may follow. The caller holds mu.
+// requestReport makes the next poll a report. A poll that is waiting is canceled, but not before minPollInterval after
+// its start, so that further changes can join the report. The caller holds mu.
 func (a *Agent) requestReport() {
 	if a.reportPending {
 		return
@@ -116,7 +116,8 @@
 	}
 }
 
-// handleReply applies a reply.
+// handleReply passes a reply to the holder, persists a newer incarnation, and calls Apply with the changes. It returns
+// an error if the lease was not renewed, but nil if the control machine asks the node to reclaim its assignments.
 func (a *Agent) handleReply(reply pollReply) error {
 	a.callbacks.Lock()
 	defer a.callbacks.Unlock()
@@ -148,8 +149,8 @@
 	return nil
 }
 
-// validConfigs returns those configs of a reply that can be used. A destination whose config is not valid keeps its
-// previous one. The caller holds mu.
+// validConfigs returns the valid configs of assigned destinations from a reply. A destination whose config is invalid
+// keeps its previous config. The caller holds mu.
 func (a *Agent) validConfigs(configs []clusterspec.DestinationConfig) []clusterspec.DestinationConfig {
 	valid := make([]clusterspec.DestinationConfig, 0, len(configs))
 	for _, config := range configs {
--- a/internal/control/client.go
+++ b/internal/control/client.go
@@ -18,47 +18,47 @@
 	"wingmount/decide/placement"
 )
 
-// Bounds of a client.
+// Limits of a client.
 const (
 	maxReplyBytes   = 128 << 20
 	maxOwnersBytes  = 64 << 10
 	maxFailureBytes = 4 << 10
 	dialTimeout     = time.Second
-	maxLookups      = 32 // of owners at once
+	maxLookups      = 32 // concurrent lookups of owners
 )
 
-// ReplyError is an answer of a control machine that reports a failure.
+// ReplyError is an error response of a control machine.
 type ReplyError struct {
 	Status int
-	Code   string // as in the answer, empty without one
+	Code   string // one of the codes in messages.go; empty if the response has none
 	Text   string
 }
 
 // Error implements error.
 func (e *ReplyError) Error() string {
-	return fmt.Sprintf("the control process answered %d %s: %s", e.Status, e.Code, e.Text)
+	return fmt.Sprintf("control process responded with status %d, code %q: %s", e.Status, e.Code, e.Text)
 }
 
 // Errors of a client.
 var (
-	// ErrOversized reports an answer above the bound.
-	ErrOversized = errors.New("the answer is too long")
-	// ErrUnreadable reports an answer that can't be decoded.
-	ErrUnreadable = errors.New("the answer can't be read")
-	// ErrUnknownDestination reports that the cluster spec has no such destination.
-	ErrUnknownDestination = errors.New("there is no such destination")
-	// ErrTooManyLookups reports that too many owners are looked up at once.
-	ErrTooManyLookups = errors.New("too many lookups of owners at once")
+	// ErrOversized reports a response longer than the limit.
+	ErrOversized = errors.New("response too long")
+	// ErrUnreadable reports a response that can't be read or decoded.
+	ErrUnreadable = errors.New("response can't be read")
+	// ErrUnknownDestination reports that the cluster spec does not contain the destination.
+	ErrUnknownDestination = errors.New("unknown destination")
+	// ErrTooManyLookups reports that maxLookups lookups of owners are in progress.
+	ErrTooManyLookups = errors.New("too many concurrent lookups of owners")
 )
 
-// client sends requests to control machines, to one address at a time: after a failure to the next one.
+// client sends requests to one control machine at a time. After a failure it switches to the next address.
 type client struct {
 	addresses []string
-	current   atomic.Uint32 // index of the address to use, modulo their number
-	// unreachable is 1 + the index of the address whose latest request got no answer; 0 for none.
+	current   atomic.Uint32 // index of the address to use, modulo the number of addresses
+	// unreachable is 1 + the index of the address whose latest request got no response; 0 means none.
 	unreachable  atomic.Uint32
 	http         *http.Client
-	ownTransport *http.Transport // nil for a shared one
+	ownTransport *http.Transport // nil if the transport is shared
 	lookups      chan struct{}
 }
 
@@ -87,10 +87,11 @@
 	}
 }
 
-// useNextAddress has the next request go to the next address.
+// useNextAddress makes the next request use the next address.
 func (c *client) useNextAddress() { c.current.Add(1) }
 
-// useAddress has the next request go to an address, if it is a configured one that was not found unreachable last.
+// useAddress makes the next request use an address, unless the address is not configured or its latest request got no
+// response.
 func (c *client) useAddress(address string) {
 	index := slices.Index(c.addresses, address)
 	if index < 0 || c.unreachable.Load() == uint32(index+1) {
@@ -99,7 +100,7 @@
 	c.current.Store(uint32(index))
 }
 
-// renew sends a poll that waits for an update, and returns the reply.
+// renew sends a poll that waits up to the given time for an update, and returns the reply.
 func (c *client) renew(ctx context.Context, request pollRequest, wait time.Duration) (pollReply, error) {
 	query := url.Values{"wait": {strconv.FormatInt(wait.Milliseconds(), 10)}}
 	var reply pollReply
@@ -107,7 +108,7 @@
 	return reply, err
 }
 
-// closeSession reports that a process uses no quota any more.
+// closeSession reports that a process no longer uses any quota.
 func (c *client) closeSession(ctx context.Context, request lease.Request) error {
 	return c.post(ctx, pathRenew, nil, pollRequest{Request: request}, nil)
 }
@@ -124,9 +125,10 @@
 	defer cancel()
 	query := url.Values{"destination": {strconv.FormatUint(uint64(destination), 10)}}
 	var owners Owners
-	err := c.do(ctx, call{method: http.MethodGet, path: pathOwners, query: query, maxReplyBytes: maxOwnersBytes}, &owners)
+	request := controlRequest{method: http.MethodGet, path: pathOwners, query: query, maxReplyBytes: maxOwnersBytes}
+	err := c.do(ctx, request, &owners)
 	if err == nil && owners.Destination != destination {
-		err = fmt.Errorf("%w: it is for destination %d", ErrUnreadable, owners.Destination)
+		err = fmt.Errorf("%w: got owners of destination %d", ErrUnreadable, owners.Destination)
 	}
 	if err == nil && owners.Unknown {
 		err = ErrUnknownDestination
@@ -137,13 +139,14 @@
 func (c *client) post(ctx context.Context, path string, query url.Values, body, into any) error {
 	text, err := json.Marshal(body)
 	if err != nil {
-		return fmt.Errorf("writing a request: %w", err)
+		return fmt.Errorf("encoding a request: %w", err)
 	}
-	return c.do(ctx, call{method: http.MethodPost, path: path, query: query, body: text, maxReplyBytes: maxReplyBytes}, into)
+	request := controlRequest{method: http.MethodPost, path: path, query: query, body: text, maxReplyBytes: maxReplyBytes}
+	return c.do(ctx, request, into)
 }
 
-// call is a request to a control machine.
-type call struct {
+// controlRequest is an HTTP request to a control machine.
+type controlRequest struct {
 	method        string
 	path          string
 	query         url.Values
@@ -151,8 +154,9 @@
 	maxReplyBytes int64
 }
 
-// do sends a request and decodes the answer into a value, if there is one. It returns a *ReplyError for a failure.
-func (c *client) do(ctx context.Context, r call, into any) error {
+// do sends a request and decodes the response into a value, unless into is nil. It returns a *ReplyError for an error
+// response.
+func (c *client) do(ctx context.Context, r controlRequest, into any) error {
 	index := uint32(int(c.current.Load()) % len(c.addresses))
 	target := url.URL{Scheme: "http", Host: c.addresses[index], Path: r.path, RawQuery: r.query.Encode()}
 	request, err := http.NewRequestWithContext(ctx, r.method, target.String(), bytes.NewReader(r.body))
@@ -170,17 +174,17 @@
 	defer func() { _ = response.Body.Close() }() // nothing is written to it
 	c.unreachable.CompareAndSwap(index+1, 0)
 	if response.StatusCode != http.StatusOK && (into != nil || response.StatusCode != http.StatusNoContent) {
-		return c.readFailure(response)
+		return c.replyError(response)
 	}
 	if into == nil {
 		return nil
 	}
-	return readAnswer(response.Body, r.maxReplyBytes, into)
+	return decodeResponse(response.Body, r.maxReplyBytes, into)
 }
 
-// readFailure returns the failure that an answer reports. The next request goes to another address: to the leader
-// if the answer names one.
-func (c *client) readFailure(response *http.Response) error {
+// replyError returns the error that a response reports. The next request uses another address: the leader's, if the
+// response contains it.
+func (c *client) replyError(response *http.Response) error {
 	c.useNextAddress()
 	failed := &ReplyError{Status: response.StatusCode}
 	var body failure
@@ -191,8 +195,8 @@
 	return failed
 }
 
-// readAnswer decodes JSON of a bounded length into a value.
-func readAnswer(body io.Reader, maxBytes int64, into any) error {
+// decodeResponse decodes JSON of limited length into a value.
+func decodeResponse(body io.Reader, maxBytes int64, into any) error {
 	text, err := io.ReadAll(io.LimitReader(body, maxBytes+1))
 	if err != nil {
 		return fmt.Errorf("%w: %w", ErrUnreadable, err)
--- a/internal/control/clock.go
+++ b/internal/control/clock.go
@@ -2,23 +2,23 @@
 
 import "time"
 
-// stepTolerance is by how much the wall clock may run ahead of the monotonic clock, or fall back behind it, before
-// that counts as a step.
+// stepTolerance is the largest change of the offset between wall clock and monotonic clock that does not count as a
+// step of the wall clock.
 const stepTolerance = time.Millisecond
 
-// clockValues are the values of the machine's clocks, from any fixed origins.
+// clockValues are simultaneous readings of the machine's clocks, each relative to a fixed origin.
 type clockValues struct {
 	monotonic time.Duration
 	wall      time.Duration
 }
 
-// clock is a clock for leases. It never goes back, and never shows less time than has passed by the monotonic
-// clock or by the wall clock: the monotonic clock stops while a machine is suspended, which must not lengthen a
-// lease. A step forward of the wall clock counts as time that has passed, so it shortens or ends leases, without a line in
-// the log; a step back does not count. The clock is not safe for concurrent use.
+// clock is a clock for leases. It never goes back, and advances at least as much as the monotonic clock and the wall
+// clock: the monotonic clock stops while a machine is suspended, which must not extend a lease. A forward step of the
+// wall clock counts as elapsed time, so it shortens or ends leases; this is not logged. A backward step is ignored.
+// The clock is not safe for concurrent use.
 type clock struct {
 	read    func() clockValues
-	offset  time.Duration // of the wall clock from the monotonic clock, after the latest step
+	offset  time.Duration // wall clock minus monotonic clock, after the latest step
 	skipped time.Duration // time that the monotonic clock did not count
 	latest  time.Duration
 }
@@ -37,7 +37,7 @@
 	}
 }
 
-// now returns the time.
+// now returns the time since the monotonic clock's origin, including suspended time.
 func (c *clock) now() time.Duration {
 	current := c.read()
 	offset := current.wall - current.monotonic
--- a/internal/control/fault_test.go
+++ b/internal/control/fault_test.go
@@ -138,7 +138,7 @@
 func TestOversizedAnswerIsRejected(t *testing.T) {
 	t.Parallel()
 	var into map[string]any
-	err := readAnswer(strings.NewReader(strings.Repeat(" ", 100)+"{}"), 50, &into)
+	err := decodeResponse(strings.NewReader(strings.Repeat(" ", 100)+"{}"), 50, &into)
 	if !errors.Is(err, ErrOversized) {
 		t.Fatal(err)
 	}
--- a/internal/control/fuzz_test.go
+++ b/internal/control/fuzz_test.go
@@ -70,7 +70,7 @@
 	f.Add([]byte(`{"incarnation":1,"sequence":1,"claims_wanted":true}`))
 	f.Fuzz(func(t *testing.T, text []byte) {
 		var reply pollReply
-		if readAnswer(bytes.NewReader(text), maxReplyBytes, &reply) != nil {
+		if decodeResponse(bytes.NewReader(text), maxReplyBytes, &reply) != nil {
 			return
 		}
 		agent := &Agent{config: AgentConfig{Node: "n1"}.withDefaults(), holder: lease.NewHolder(lease.HolderConfig{Node: "n1", Process: 1})}
@@ -100,7 +100,7 @@
 	f.Add([]byte(`{"destination":1,"owners":[{"node":"n1","address":"127.0.0.1:9001"}]}`))
 	f.Fuzz(func(_ *testing.T, text []byte) {
 		var owners Owners
-		_ = readAnswer(bytes.NewReader(text), maxOwnersBytes, &owners)
+		_ = decodeResponse(bytes.NewReader(text), maxOwnersBytes, &owners)
 	})
 }
 
--- a/internal/control/listener.go
+++ b/internal/control/listener.go
@@ -7,22 +7,22 @@
 	"time"
 )
 
-// extraConnections is the number of connections beyond two for each session: of operators, and of nodes that look
-// up owners.
+// extraConnections is the number of connections in addition to two per session: those of operators and of nodes that
+// look up owners.
 const extraConnections = 256
 
-// Bounds of rejections: the time for one, the bytes of a request that are read, and the number in progress.
-// Further connections are closed without an answer.
+// Limits of rejections: the time for each, the bytes of its request that are read, and the number in progress.
+// Connections beyond maxRejections are closed without a response.
 const (
 	rejectionTimeout      = 200 * time.Millisecond
 	maxRejectionReadBytes = 64 << 10
 	maxRejections         = 64
 )
 
-// rejection is the answer to a connection beyond the bound.
+// rejection is the response to a connection above the limit.
 const rejection = "HTTP/1.1 503 Service Unavailable\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
 
-// boundedListener bounds the open connections. One beyond the bound is answered with 503 and closed.
+// boundedListener limits the number of open connections. A connection above the limit gets a 503 and is closed.
 type boundedListener struct {
 	net.Listener
 	slots      chan struct{}
@@ -49,7 +49,7 @@
 	}
 }
 
-// reject answers a connection with 503, without waiting for it.
+// reject starts answering a connection with 503 and returns without waiting.
 func (l *boundedListener) reject(connection net.Conn) {
 	select {
 	case l.rejections <- struct{}{}:
@@ -62,8 +62,8 @@
 	}
 }
 
-// answerRejected answers once the request has begun: a client ignores bytes that come before it has sent any. The
-// rest of the request is read, since a close with unread bytes would discard the answer.
+// answerRejected responds once the request has begun, since a client ignores bytes that it receives before it has sent
+// any. It then reads the rest of the request, since closing with unread bytes would discard the response.
 func answerRejected(connection net.Conn) {
 	defer func() { _ = connection.Close() }()
 	_ = connection.SetDeadline(time.Now().Add(rejectionTimeout))
--- a/internal/control/margin_test.go
+++ b/internal/control/margin_test.go
@@ -275,21 +275,21 @@
 	wantDuration(t, "not before a time", s.placementDue, 8*time.Second)
 
 	*now = 8*time.Second - 1
-	wantDuration(t, "1ns before it is due", s.runDue(t.Context()), time.Millisecond)
+	wantDuration(t, "1ns before it is due", s.runDueWork(t.Context()), time.Millisecond)
 	if s.table.Load() != nil {
 		t.Error("1ns before it is due: got a placement")
 	}
 	*now = 8 * time.Second
-	s.runDue(t.Context())
+	s.runDueWork(t.Context())
 	if s.table.Load() == nil || s.placementPending {
 		t.Error("when it is due: got no placement")
 	}
 	*now = 9 * time.Second
 	s.schedulePlacement(*now, 0)
 	wantDuration(t, "once there is a placement, without the wait", s.placementDue, 9500*time.Millisecond)
-	wantDuration(t, "the loop waits until then", s.runDue(t.Context()), 500*time.Millisecond)
+	wantDuration(t, "the loop waits until then", s.runDueWork(t.Context()), 500*time.Millisecond)
 	s.placementPending = false
-	wantDuration(t, "the loop waits at most", s.runDue(t.Context()), time.Minute)
+	wantDuration(t, "the loop waits at most", s.runDueWork(t.Context()), time.Minute)
 
 	s, _ = newTestRegionServer(t, marginConfig(t), 18*time.Second, false)
 	s.placementPending = false
@@ -318,13 +318,13 @@
 func TestDepartedNodeStaysEligibleForItsGrace(t *testing.T) {
 	s, now := newTestRegionServer(t, marginConfig(t), 0, true)
 	poll := pollRequest{Request: lease.Request{Node: "n1", Process: 5, Sequence: 1}}
-	id, _, err := s.receive(poll)
+	id, _, err := s.receivePoll(poll)
 	testkit.Must(t, err)
-	_, err = s.answer(id, poll, nil)
+	_, err = s.answerPoll(id, poll, nil)
 	testkit.Must(t, err)
 	*now = 10 * time.Second
 	s.placementPending = false
-	_, _, err = s.receive(pollRequest{Request: lease.Request{Node: "n1", Process: 5, Incarnation: 2, Session: id, Sequence: 2, Closing: true}})
+	_, _, err = s.receivePoll(pollRequest{Request: lease.Request{Node: "n1", Process: 5, Incarnation: 2, Session: id, Sequence: 2, Closing: true}})
 	testkit.Must(t, err)
 	const ends = 70 * time.Second
 	if !s.eligible(ends-1, "n1") || s.eligible(ends, "n1") || s.eligible(ends-1, "n2") {
@@ -347,17 +347,17 @@
 	valid := true
 	s.mayGrant = func() bool { return valid }
 	poll := pollRequest{Request: lease.Request{Node: "n1", Process: 5, Sequence: 1}}
-	id, _, err := s.receive(poll)
+	id, _, err := s.receivePoll(poll)
 	testkit.Must(t, err)
 	valid = false
-	if _, err := s.answer(id, poll, nil); !errors.Is(err, errNotLeader) {
+	if _, err := s.answerPoll(id, poll, nil); !errors.Is(err, errNotLeader) {
 		t.Errorf("an answer after the end: got %v", err)
 	}
-	if _, _, err := s.receive(pollRequest{Request: lease.Request{Node: "n1", Process: 5, Sequence: 2}}); !errors.Is(err, errNotLeader) {
+	if _, _, err := s.receivePoll(pollRequest{Request: lease.Request{Node: "n1", Process: 5, Sequence: 2}}); !errors.Is(err, errNotLeader) {
 		t.Errorf("a request after the end: got %v", err)
 	}
 	valid = true
-	_, err = s.answer(id, poll, nil)
+	_, err = s.answerPoll(id, poll, nil)
 	testkit.Must(t, err)
 }
 
@@ -399,7 +399,7 @@
 			testkit.Must(t, err)
 			defer func() { testkit.Must(t, folder.close()) }()
 			testkit.Must(t, folder.persist(c.before))
-			next, before, err := folder.begin(c.above, c.duration)
+			next, before, err := folder.beginIncarnation(c.above, c.duration)
 			if c.noMoreFollowing {
 				if !errors.Is(err, ErrIncarnations) {
 					t.Errorf("got %v, want ErrIncarnations", err)
@@ -551,7 +551,7 @@
 	config := m.config.ServerConfig
 	config.Spec = m.view.Spec
 	s := newRegionServer(config, serverState{Incarnation: term.Incarnation, LongestLease: term.LongestNodeLease}, earlierLeases{longest: term.LongestNodeLease})
-	s.onGraceEnd = func(serverState) error { m.markEarlierLeasesEnded(); return nil }
+	s.onGraceEnd = func(serverState) error { m.markEarlierLeasesExpired(); return nil }
 	var now time.Duration
 	s.now = func() time.Duration { return now }
 	renewal := func() leadership.Renewal {
--- a/internal/control/member.go
+++ b/internal/control/member.go
@@ -24,44 +24,46 @@
 type QuorumMember struct {
 	ID      leadership.MemberID
 	Region  string
-	Address string // HOST:PORT, as nodes and the other members reach it
+	Address string // HOST:PORT at which nodes and the other members reach it
 }
 
-// MemberConfig configures a member of a quorum. A zero field has its default.
+// MemberConfig configures a member of a quorum. Fields left zero get defaults.
 type MemberConfig struct {
-	// ServerConfig is that of the server while this member leads its region. NoEarlierLeases and AboveIncarnation apply to
-	// a new log only: see InitialMembers. Spec is not used. StateDir has the log.
+	// ServerConfig configures the server that runs while this member leads its region. NoEarlierLeases and
+	// AboveIncarnation apply to a new log only: see InitialMembers. Spec is not used. StateDir contains the log.
 	ServerConfig
 	ID     leadership.MemberID
 	Region string
-	// InitialMembers are the members that the log begins with, the same at each of them. They apply with NoEarlierLeases
-	// and if there is no log yet; a member without a log and without NoEarlierLeases waits until the others add it.
+	// InitialMembers are the members of a new log. All of them must be configured with the same list. It applies only if
+	// NoEarlierLeases is set and there is no log yet; a member without a log and without NoEarlierLeases waits until the
+	// others add it.
 	InitialMembers []QuorumMember
-	// Leadership is how long a leader may act without the quorum, and the bounds of clocks.
+	// Leadership configures how long a leader may act without the quorum, and the limits of clock errors.
 	Leadership leadership.Config
 	// Tick and ElectionTicks: see consensus.Config.
 	Tick          time.Duration
 	ElectionTicks int
-	// AddressOverrides are addresses at which this machine reaches other members, if they are not the replicated ones.
+	// AddressOverrides replaces the replicated addresses of other members for requests of this machine.
 	AddressOverrides map[leadership.MemberID]string
 	clock            func() clockValues
-	transport        http.RoundTripper // to the other members; nil stands for one of the member's own
+	transport        http.RoundTripper // to the other members; if nil, the member creates its own
 }
 
-// Times at which a member checks whether there is something to propose.
+// Limits of the interval at which a member checks whether a proposal is due.
 const (
 	proposalChecksPerLease   = 60
 	maxProposalCheckInterval = time.Second
 )
 
-// proposalCheckInterval returns the time between two checks whether there is something to propose.
+// proposalCheckInterval returns the time between two checks whether a proposal is due.
 func proposalCheckInterval(leaderLease time.Duration) time.Duration {
 	return min(maxProposalCheckInterval, leaderLease/proposalChecksPerLease)
 }
 
-// MaxLeaderLease returns the longest lease of a leader with which another member takes over before the leases of nodes
-// end: nodes renew their leases some time before the leader fails, and reach the next one some time after its election. A
-// pause of an agent may be 100 ms longer than maxBackoff, which is subtracted for it: see docs/ROADMAP.md.
+// MaxLeaderLease returns the longest leader lease with which another member still takes over before the leases of nodes
+// expire. It allows for the time since a node's latest renewal when the leader fails, and for the pause before the node
+// reaches the next leader. For that pause it subtracts maxBackoff, though a pause may be 100 ms longer: see
+// docs/ROADMAP.md.
 func MaxLeaderLease(nodeLease time.Duration, maxDrift float64, slack time.Duration) time.Duration {
 	sinceRenewal := min(DefaultPollWait, nodeLease/renewalsPerLease)
 	return time.Duration(float64(nodeLease-sinceRenewal-maxBackoff-slack) * (1 - maxDrift))
@@ -106,33 +108,34 @@
 	clock   *clock
 	started time.Time
 
-	view    *stateView                   // applied last; of the Run goroutine
-	leading *regionLeader                // nil for a follower; of the Run goroutine
-	serving atomic.Pointer[regionLeader] // leading, for other goroutines
+	view    *stateView                   // the latest applied view; owned by the Run goroutine
+	leading *regionLeader                // nil for a follower; owned by the Run goroutine
+	serving atomic.Pointer[regionLeader] // the value of leading, for other goroutines
 }
 
 // Errors of a member.
 var (
-	// errNotLeader reports that this member does not lead its region now. Its text has the operators' word for that.
+	// errNotLeader reports that this member does not lead its region now. Its text, which clients receive, uses the older
+	// term for that.
 	errNotLeader = errors.New("this control machine does not hold its region now")
 	// ErrNoQuorum reports that a change was not committed in time. It may be committed later.
 	ErrNoQuorum = errors.New("the change was not agreed in time: it may be, later")
 	// ErrMember reports a MemberConfig that lacks a required field.
-	ErrMember = errors.New("a member of the quorum needs an id above 0 and a region")
+	ErrMember = errors.New("member config requires an id above 0 and a region")
 )
 
-// NewMember opens the log and listens. The caller has to call Run. It returns ErrMember for a config without a required
-// field, ErrLocked if another process uses the state folder, and consensus.ErrDamaged if the log can't be read.
+// NewMember opens the log and listens. The caller must call Run. It returns ErrMember if config lacks a required field,
+// ErrLocked if another process uses the state folder, and consensus.ErrDamaged if the log is damaged.
 func NewMember(config MemberConfig) (*Member, error) {
 	config = config.withDefaults()
 	if config.ID == 0 || config.Region == "" {
 		return nil, ErrMember
 	}
 	if config.Lease > lease.MaxDuration {
-		return nil, fmt.Errorf("a lease of %v: %v at most", config.Lease, lease.MaxDuration)
+		return nil, fmt.Errorf("lease duration %v exceeds the maximum of %v", config.Lease, lease.MaxDuration)
 	}
 	if err := os.MkdirAll(config.StateDir, 0o700); err != nil {
-		return nil, fmt.Errorf("making the state folder: %w", err)
+		return nil, fmt.Errorf("creating the state folder: %w", err)
 	}
 	lock, err := lockFile(filepath.Join(config.StateDir, lockName))
 	if err != nil {
@@ -181,7 +184,7 @@
 	return m, nil
 }
 
-// initialLog returns the members and the state that a new log begins with; none if the member waits to be added.
+// initialLog returns the members and the encoded state of a new log; nil if the member waits until the others add it.
 func (c MemberConfig) initialLog() (ids []uint64, state []byte, err error) {
 	if !c.NoEarlierLeases {
 		return nil, nil, nil
@@ -195,8 +198,8 @@
 	return ids, state, err
 }
 
-// initialAddresses returns the addresses of the members at the start: the replicated ones, or else those of the settings,
-// at which a member that was added answers until it has received the log.
+// initialAddresses returns the addresses of the members at the start: the replicated ones, or the configured ones if
+// there is no replicated state yet. A member that is added later uses the configured ones until it has received the log.
 func (m *Member) initialAddresses() map[leadership.MemberID]string {
 	view := m.machine.view()
 	if len(view.Addresses) > 0 {
@@ -223,13 +226,13 @@
 // Addr returns the address that the member listens on.
 func (m *Member) Addr() string { return m.listener.Addr().String() }
 
-// clockReading returns the time for the elector. The caller has locked mu, or is the only one. Latest never goes back
-// (see clock), so what the elector does after a step back does not happen here.
+// clockReading returns the time for the elector. The caller holds mu, or has the only reference to the member. Latest
+// never goes back (see clock), so the elector's handling of a backward step is never used here.
 func (m *Member) clockReading() leadership.ClockReading {
 	return leadership.ClockReading{Latest: m.clock.now(), Earliest: time.Since(m.started)}
 }
 
-// wakeUp has the Run goroutine look at the replicated state. It does not block.
+// wakeUp makes the Run goroutine check the replicated state. It does not block.
 func (m *Member) wakeUp() {
 	select {
 	case m.wake <- struct{}{}:
@@ -237,17 +240,17 @@
 	}
 }
 
-// Run takes part in the quorum until the context ends, and then resigns the leadership of the region. It returns the
-// error of the listener, if that fails.
+// Run takes part in the quorum until the context is done, and then resigns the leadership of the region. It returns an
+// error of the listener or of closing the lock file.
 //
-// Run goes on when the log has stopped, for instance after an error of the disk: it logs "control: member stopped", and
-// consensus.Status.Stopped has the reason. HTTP is answered, and changes of operators return consensus.ErrStopped. A
-// leader extends its lease by votes only, as long as all other members of its region vote for it; without other members
-// in the region that has no end.
+// Run continues when the log has stopped, for instance after a disk error: it logs "control: member stopped", and
+// consensus.Status.Stopped contains the reason. HTTP requests are still answered, and changes by operators return
+// consensus.ErrStopped. A leader can then extend its lease by votes only, as long as all other members of its region
+// vote for it. If the region has no other members, the leader can extend its lease without limit.
 func (m *Member) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	logContext, stopLog := context.WithCancel(context.WithoutCancel(ctx)) // the log is needed for the resignation
+	logContext, stopLog := context.WithCancel(context.WithoutCancel(ctx)) // the resignation still needs the log
 	defer stopLog()
 	var log sync.WaitGroup
 	log.Go(func() {
@@ -270,7 +273,7 @@
 	return errors.Join(err, m.lock.Close())
 }
 
-// loop applies new views and proposes what is due, until the context ends.
+// loop applies new views and sends proposals that are due, until the context is done.
 func (m *Member) loop(ctx context.Context) {
 	ticker := time.NewTicker(proposalCheckInterval(m.config.Leadership.LeaderLease))
 	defer ticker.Stop()
@@ -293,7 +296,7 @@
 	}
 }
 
-// applyView passes a new view of the replicated state to the elector, the transport, and the server of a leader.
+// applyView passes a new view of the replicated state to the elector, the transport and, on a leader, the server.
 func (m *Member) applyView() {
 	view := m.machine.takeView()
 	if view == nil {
@@ -301,7 +304,7 @@
 	}
 	m.view = view
 	if m.leading != nil {
-		m.leading.show(view)
+		m.leading.publish(view)
 	}
 	m.transport.SetMembers(m.otherAddresses(view.Addresses))
 	m.mu.Lock()
@@ -313,5 +316,6 @@
 	}
 }
 
-// Spec returns the replicated cluster spec, as far as this member has applied the log. It must not be changed.
+// Spec returns the replicated cluster spec as of the latest entry that this member has applied. The caller must not
+// modify it.
 func (m *Member) Spec() *clusterspec.Spec { return m.machine.view().Spec }
--- a/internal/control/member_changes.go
+++ b/internal/control/member_changes.go
@@ -17,14 +17,14 @@
 	"wingmount/internal/consensus"
 )
 
-// Times of a change that waits until it is committed.
+// Timing of changes that wait until they are committed.
 const (
-	commitTimeout  = 10 * time.Second
-	proposeAgain   = 500 * time.Millisecond
-	resignDeadline = time.Second
+	commitTimeout         = 10 * time.Second
+	proposalRetryInterval = 500 * time.Millisecond
+	resignTimeout         = time.Second
 )
 
-// propose proposes what the elector asks for, and requests votes if the quorum does not answer.
+// propose sends the elector's proposal, if one is due, and requests votes if the quorum does not respond.
 func (m *Member) propose(ctx context.Context) {
 	m.mu.Lock()
 	now := m.clockReading()
@@ -37,9 +37,9 @@
 			m.config.Log.Debug("control: proposal failed", "err", err)
 		}
 	}
-	if m.log.Status().Learner { // it has received the entry that added it
+	if m.log.Status().Learner { // it has received the entry that added it; it now asks to become a voter
 		if text, err := json.Marshal(command{ID: rand.Uint64()}); err == nil {
-			_ = m.log.ProposeVoter(uint64(m.config.ID), text) // repeated at the next check
+			_ = m.log.ProposeVoter(uint64(m.config.ID), text) // retried at the next check
 		}
 	}
 	if !ask {
@@ -51,7 +51,7 @@
 	}
 }
 
-// requestVote asks a member of the region for its vote to extend the leader lease.
+// requestVote requests the vote of a member of the region to extend the leader lease.
 func (m *Member) requestVote(ctx context.Context, request leadership.VoteRequest, id leadership.MemberID, address string) {
 	granted, err := m.voters.request(ctx, address, request)
 	if err != nil || !granted {
@@ -63,7 +63,7 @@
 	m.elector.RecordVote(m.clockReading(), request.Nonce, id)
 }
 
-// proposeOnce proposes a command and does not wait until it is committed.
+// proposeOnce proposes a command without waiting until it is committed.
 func (m *Member) proposeOnce(c command) error {
 	text, err := json.Marshal(c)
 	if err != nil {
@@ -72,13 +72,13 @@
 	return m.log.Propose(text)
 }
 
-// commit proposes a command each proposeAgain until it is committed, and returns its outcome: nil, ErrConflict or
-// ErrNoEffect. It returns ErrNoQuorum when the context ends, and consensus.ErrStopped or consensus.ErrTooLong if the
-// command can't be proposed; a full queue (consensus.ErrBusy) is tried again.
+// commit proposes a command every proposalRetryInterval until it is committed, and returns its outcome: nil, ErrConflict
+// or ErrNoEffect. It returns ErrNoQuorum when the context is done, and consensus.ErrStopped or consensus.ErrTooLong if
+// the command can't be proposed. It retries after consensus.ErrBusy (the queue is full).
 //
-// A command may be committed twice. The second time it changes nothing that is in force. A part of a change of the spec
-// may then begin the staging anew, or drop what is staged: the later parts are a conflict, and the change as a unit has no
-// effect.
+// A command may be committed twice. The second commit does not change applied state. If the command is a part of a change
+// to the spec, the second commit may restart the staging or discard the staged parts. The later parts then fail with
+// ErrConflict, and the whole change has no effect.
 func (m *Member) commit(ctx context.Context, c command, propose func(text []byte) error) error {
 	c.ID = rand.Uint64()
 	text, err := json.Marshal(c)
@@ -87,7 +87,7 @@
 	}
 	outcome := m.machine.awaitOutcome(c.ID)
 	defer m.machine.stopAwaiting(c.ID)
-	again := time.NewTicker(proposeAgain)
+	again := time.NewTicker(proposalRetryInterval)
 	defer again.Stop()
 	for {
 		if err := propose(text); err != nil && !errors.Is(err, consensus.ErrBusy) {
@@ -103,7 +103,7 @@
 	}
 }
 
-// resign ends this member's leadership, and has it committed so that another member can follow at once.
+// resign ends this member's leadership and commits the resignation, so that another member can take over immediately.
 func (m *Member) resign() {
 	if m.role() == leader {
 		m.stopLeading()
@@ -118,7 +118,7 @@
 	if !elected {
 		return
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), resignDeadline)
+	ctx, cancel := context.WithTimeout(context.Background(), resignTimeout)
 	defer cancel()
 	if err := m.commit(ctx, command{Resignation: &resignation}, m.log.Propose); err != nil {
 		m.config.Log.Warn("control: resignation not committed", "err", err)
@@ -126,7 +126,8 @@
 }
 
 // Drain sets whether a node is draining: a draining node owns no destination. The change is committed when Drain returns
-// without an error. It returns a *NodeError for an unknown node, or an error of commit; it tries again after ErrConflict.
+// without an error. It returns a *NodeError for an unknown node, and the errors of commit except ErrConflict, after which
+// it retries.
 func (m *Member) Drain(ctx context.Context, node placement.NodeID, draining bool) error {
 	ctx, cancel := context.WithTimeout(ctx, commitTimeout)
 	defer cancel()
@@ -143,7 +144,7 @@
 	}
 }
 
-// Reload reads this machine's spec file, and proposes its difference from the replicated spec. It returns the errors of
+// Reload reads this machine's spec file and proposes its difference from the replicated spec. It returns the errors of
 // clusterspec.Load and of SetSpec.
 func (m *Member) Reload(ctx context.Context) error {
 	spec, err := clusterspec.Load(m.config.SpecFile)
@@ -153,21 +154,21 @@
 	return m.SetSpec(ctx, spec)
 }
 
-// SetSpec proposes the difference of a spec from the replicated one. It takes effect as one change or not at all, and is
-// committed when SetSpec returns without an error. See changeSpec for the errors.
+// SetSpec proposes the difference between the replicated spec and the given one. The change is atomic, and committed when
+// SetSpec returns without an error. See changeSpec for the errors.
 func (m *Member) SetSpec(ctx context.Context, spec *clusterspec.Spec) error {
 	return m.changeSpec(ctx, func(current *clusterspec.Spec) clusterspec.Delta { return clusterspec.Diff(current, spec) })
 }
 
-// ApplyDelta proposes a delta, whose omitted fields get their defaults, as SetSpec does.
+// ApplyDelta proposes a delta in the same way as SetSpec. Omitted fields of the delta get their defaults.
 func (m *Member) ApplyDelta(ctx context.Context, delta clusterspec.Delta) error {
 	delta.SetDefaults()
 	return m.changeSpec(ctx, func(*clusterspec.Spec) clusterspec.Delta { return delta })
 }
 
-// changeSpec proposes a delta, which is computed from the replicated spec, part after part. It returns errSpecBusy while
-// another change of the spec through this member is in progress, an error that wraps lease.ErrMalformed if the next spec
-// would not be valid, ErrConfigsWithdrawn, and the errors of commit.
+// changeSpec computes a delta from the replicated spec and proposes it in parts, one after the other. It returns
+// errSpecBusy if another change of the spec through this member is in progress, an error that wraps lease.ErrMalformed if
+// the resulting spec would be invalid, ErrConfigsWithdrawn, and the errors of commit.
 func (m *Member) changeSpec(ctx context.Context, deltaFrom func(current *clusterspec.Spec) clusterspec.Delta) error {
 	select {
 	case m.specSlot <- struct{}{}:
@@ -208,7 +209,8 @@
 	return m.commit(ctx, c, m.log.Propose)
 }
 
-// addMember adds a member. It starts without a log, receives it from the others, and counts for a majority once it has.
+// addMember adds a member. The new member starts without a log and receives it from the others. It is a learner until
+// then, and counts towards a majority afterwards.
 func (m *Member) addMember(ctx context.Context, member addMember) error {
 	ctx, cancel := context.WithTimeout(ctx, commitTimeout)
 	defer cancel()
@@ -216,7 +218,7 @@
 		func(text []byte) error { return m.log.ProposeLearner(uint64(member.Member), text) })
 }
 
-// removeMember removes a member that has ended for good.
+// removeMember removes a member that has stopped permanently.
 func (m *Member) removeMember(ctx context.Context, id leadership.MemberID) error {
 	ctx, cancel := context.WithTimeout(ctx, commitTimeout)
 	defer cancel()
--- a/internal/control/member_http.go
+++ b/internal/control/member_http.go
@@ -17,19 +17,19 @@
 	"wingmount/internal/consensus"
 )
 
-// Timeouts of a change of the cluster spec over HTTP.
+// Timeouts of a change to the cluster spec over HTTP.
 const (
 	specBodyTimeout  = time.Minute
 	specReplyTimeout = 2 * time.Minute
 )
 
-// handler serves the paths of a member. Polls end with the context.
+// handler returns the HTTP handler of a member. Pending polls are answered when the context is done.
 func (m *Member) handler(ctx context.Context) http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST "+pathRenew, m.byLeader(func(s *Server, w http.ResponseWriter, r *http.Request) { s.serveRenew(ctx, w, r) }))
-	mux.HandleFunc("GET "+pathOwners, m.byLeader((*Server).serveOwners))
-	mux.HandleFunc("GET "+pathState, m.byLeader((*Server).serveState))
-	mux.HandleFunc("GET "+pathExplain, m.byLeader((*Server).serveExplain))
+	mux.HandleFunc("POST "+pathRenew, m.requireLeader(func(s *Server, w http.ResponseWriter, r *http.Request) { s.serveRenew(ctx, w, r) }))
+	mux.HandleFunc("GET "+pathOwners, m.requireLeader((*Server).serveOwners))
+	mux.HandleFunc("GET "+pathState, m.requireLeader((*Server).serveState))
+	mux.HandleFunc("GET "+pathExplain, m.requireLeader((*Server).serveExplain))
 	mux.HandleFunc("POST "+pathDrain, m.serveDrain)
 	mux.HandleFunc("POST "+pathReload, m.serveReload)
 	mux.HandleFunc("POST "+pathVote, m.serveVote)
@@ -41,8 +41,9 @@
 	return mux
 }
 
-// byLeader serves a request by the region's server if this member leads the region, or answers who does.
-func (m *Member) byLeader(serve func(*Server, http.ResponseWriter, *http.Request)) http.HandlerFunc {
+// requireLeader returns a handler that passes requests to the region's server if this member leads the region. Otherwise
+// it responds with the leader's address, if that is known.
+func (m *Member) requireLeader(serve func(*Server, http.ResponseWriter, *http.Request)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		if l := m.serving.Load(); l != nil {
 			serve(l.server, w, r)
@@ -53,7 +54,7 @@
 	}
 }
 
-// leaderAddress returns the address of the region's leader, empty if it is this member or not known.
+// leaderAddress returns the address of the region's leader, empty if this member is the leader or the leader is unknown.
 func (m *Member) leaderAddress() string {
 	view := m.machine.view()
 	id := view.Leadership.Regions[m.config.Region].Leader
@@ -73,9 +74,9 @@
 	writeOutcome(w, m.Drain(r.Context(), node, draining))
 }
 
-// serveReload reads the spec file of this machine again. ErrNoQuorum, ErrConflict and errSpecBusy have their own codes. All
-// other errors are answered as malformed (400), also an unreadable file, consensus.ErrStopped and ErrConfigsWithdrawn;
-// serveSpec answers the latter two by their own codes.
+// serveReload reloads this machine's spec file. ErrNoQuorum, ErrConflict and errSpecBusy get their own codes. All other
+// errors get codeMalformed (status 400), including an unreadable file, consensus.ErrStopped and ErrConfigsWithdrawn;
+// serveSpec responds to the latter two with their own codes.
 func (m *Member) serveReload(w http.ResponseWriter, r *http.Request) {
 	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(specReplyTimeout))
 	err := m.Reload(r.Context())
@@ -85,7 +86,7 @@
 	writeOutcome(w, err)
 }
 
-// serveSpec changes the cluster spec, by a delta or a complete spec.
+// serveSpec changes the cluster spec, by a delta as JSON or, with ?whole=true, a complete spec as TOML.
 func (m *Member) serveSpec(w http.ResponseWriter, r *http.Request) {
 	controller := http.NewResponseController(w)
 	_ = controller.SetReadDeadline(time.Now().Add(specBodyTimeout))
@@ -114,7 +115,7 @@
 	writeOutcome(w, m.ApplyDelta(r.Context(), delta))
 }
 
-// parseMember returns the member that a request names.
+// parseMember returns the member ID in a request's query.
 func parseMember(r *http.Request) (leadership.MemberID, error) {
 	id, err := strconv.ParseUint(r.URL.Query().Get("member"), 10, 64)
 	if err != nil || id == 0 {
--- a/internal/control/member_role.go
+++ b/internal/control/member_role.go
@@ -8,13 +8,13 @@
 	"wingmount/decide/lease"
 )
 
-// role is what a member is in its region. It changes in updateRole and resign only:
+// role is a member's role in its region. It changes in updateRole and resign only:
 //
-//	follower -> leader    the log names this process as the leader, and its leader lease is valid
-//	leader -> follower    the log names another process or a later incarnation, or the member ends
+//	follower -> leader    the replicated state names this process as leader, and its leader lease is valid
+//	leader -> follower    the replicated state names another process or a later incarnation, or the member stops
 //
-// A leader whose leader lease has run out stays a leader, whose server grants nothing (see Member.mayGrant), until the
-// log names another one or the lease is renewed.
+// A leader whose leader lease has expired remains a leader until the replicated state names another one. Its server grants
+// no leases (see Member.mayGrant) unless the leader lease is renewed.
 type role string
 
 const (
@@ -22,7 +22,7 @@
 	leader   role = "leader"
 )
 
-// role returns the present role. It is called by the Run goroutine.
+// role returns the current role. Only the Run goroutine calls it.
 func (m *Member) role() role {
 	if m.leading == nil {
 		return follower
@@ -30,7 +30,7 @@
 	return leader
 }
 
-// updateRole makes the transition that the replicated state calls for.
+// updateRole starts or stops leading the region according to the replicated state and the leader lease.
 func (m *Member) updateRole(ctx context.Context) {
 	if m.view == nil {
 		return
@@ -49,8 +49,8 @@
 	}
 }
 
-// logTransition logs a change of the role at a level: a warning if this member stops leading other than by its own end,
-// whether or not another process follows.
+// logTransition logs a change of role. The level is a warning if this member stops leading for any reason except its own
+// shutdown, whether or not another process takes over.
 func (m *Member) logTransition(level slog.Level, previous role, term leadership.Term) {
 	m.config.Log.Log(context.Background(), level, "control: leadership changed", "region", m.config.Region, "old", previous, "new", m.role(),
 		"leader", term.Leader, "incarnation", term.Incarnation)
@@ -60,16 +60,16 @@
 type regionLeader struct {
 	server      *Server
 	incarnation lease.Incarnation
-	views       chan *stateView // the latest view that update has not seen
+	views       chan *stateView // the latest view, until applyViews receives it
 	cancel      context.CancelFunc
 	running     sync.WaitGroup
 }
 
-// firstIncarnation is that of a region's first leader, unless MemberConfig.AboveIncarnation makes it higher: State.Elect
-// counts from 0. No lease can have been granted before it.
+// firstIncarnation is the incarnation of a region's first leader, unless MemberConfig.AboveIncarnation makes it higher:
+// leadership.State.Elect increments it, starting from 0. No lease can have been granted before it.
 const firstIncarnation lease.Incarnation = 1
 
-// startLeading starts a server that assigns destinations to the region's nodes.
+// startLeading starts a server that assigns destinations to the region's nodes. Run calls it through updateRole.
 func (m *Member) startLeading(ctx context.Context, term leadership.Term) {
 	config := m.config.ServerConfig
 	config.Spec = m.view.Spec.ForRegion(m.config.Region)
@@ -78,7 +78,7 @@
 	earlier := earlierLeases{longest: term.LongestNodeLease, none: term.Incarnation == firstIncarnation}
 	server := newRegionServer(config, state, earlier)
 	server.onGraceEnd = func(serverState) error {
-		m.markEarlierLeasesEnded()
+		m.markEarlierLeasesExpired()
 		return nil
 	}
 	server.mayGrant = func() bool { return m.mayGrant(term.Incarnation) }
@@ -86,12 +86,12 @@
 	l := &regionLeader{server: server, incarnation: term.Incarnation, views: make(chan *stateView, 1), cancel: cancel}
 	first := m.view
 	l.running.Go(func() { server.loop(ctx) })
-	l.running.Go(func() { l.update(ctx, first, m.config.Region) })
+	l.running.Go(func() { l.applyViews(ctx, first, m.config.Region) })
 	m.leading = l
 	m.serving.Store(l)
 }
 
-// stopLeading stops the server and waits until it has ended.
+// stopLeading stops the server and waits for its goroutines.
 func (m *Member) stopLeading() {
 	m.serving.Store(nil)
 	m.leading.cancel()
@@ -99,7 +99,8 @@
 	m.leading = nil
 }
 
-// mayGrant reports whether this process may grant leases as an incarnation now. The server calls it with Server.mu locked.
+// mayGrant reports whether this process may now grant leases under an incarnation. The server calls it with Server.mu
+// locked.
 func (m *Member) mayGrant(incarnation lease.Incarnation) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -107,18 +108,18 @@
 	return leading && current == incarnation
 }
 
-// show passes the latest view to update. It does not block: a large spec takes a while to be put in force, during which
-// the leader lease has to be renewed.
-func (l *regionLeader) show(view *stateView) {
+// publish passes the latest view to applyViews. It does not block, since the leader lease must be renewed while a large
+// spec is being applied, which can take a while.
+func (l *regionLeader) publish(view *stateView) {
 	select {
-	case <-l.views: // an older one that was not seen
+	case <-l.views: // discard an older view
 	default:
 	}
 	l.views <- view
 }
 
-// update puts changes of the cluster spec and of draining nodes in force until the context ends.
-func (l *regionLeader) update(ctx context.Context, previous *stateView, region string) {
+// applyViews applies changes of the cluster spec and of draining nodes to the server until the context is done.
+func (l *regionLeader) applyViews(ctx context.Context, previous *stateView, region string) {
 	for {
 		var view *stateView
 		select {
@@ -127,7 +128,7 @@
 		case view = <-l.views:
 		}
 		if view.SpecVersion != previous.SpecVersion {
-			l.server.applySpec(view.Spec.ForRegion(region)) // it was validated before it was proposed
+			l.server.applySpec(view.Spec.ForRegion(region)) // validated before it was proposed
 		}
 		if view.DrainVersion != previous.DrainVersion {
 			l.server.setDraining(view.Draining)
@@ -136,8 +137,8 @@
 	}
 }
 
-// markEarlierLeasesEnded notes that no lease of an earlier leader is valid any more, which the next renewal passes on.
-func (m *Member) markEarlierLeasesEnded() {
+// markEarlierLeasesExpired records that no lease of an earlier leader is valid. The next renewal writes this to the log.
+func (m *Member) markEarlierLeasesExpired() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.elector.MarkEarlierLeasesExpired()
--- a/internal/control/member_status.go
+++ b/internal/control/member_status.go
@@ -7,12 +7,12 @@
 	"wingmount/internal/consensus"
 )
 
-// QuorumState is what a member knows of the quorum. Consensus.Term is raft's, of the log; a leadership.Term is who leads
-// one region.
+// QuorumState is the state of the quorum from the view of one member. Consensus.Term is raft's term of the log; a
+// leadership.Term identifies the leader of one region.
 type QuorumState struct {
 	Consensus    consensus.Status           `json:"consensus"`
 	Region       string                     `json:"region"`
-	Joined       bool                       `json:"joined"` // the others know this process: it may lead, and vote
+	Joined       bool                       `json:"joined"` // the replicated state contains this process, which may lead and vote
 	Leading      bool                       `json:"holds"`  // this member grants leases in its region now
 	Members      []MemberState              `json:"members"`
 	Regions      map[string]leadership.Term `json:"regions"`
@@ -22,14 +22,14 @@
 	Draining     []string                   `json:"draining"`
 }
 
-// MemberState is one member.
+// MemberState describes one member.
 type MemberState struct {
 	ID      leadership.MemberID `json:"id"`
 	Region  string              `json:"region"`
 	Address string              `json:"address"`
 }
 
-// State returns what this member knows of the quorum.
+// State returns the state of the quorum from this member's view.
 func (m *Member) State() QuorumState {
 	view := m.machine.view()
 	s := QuorumState{
--- a/internal/control/member_votes.go
+++ b/internal/control/member_votes.go
@@ -12,13 +12,13 @@
 	"wingmount/decide/lease"
 )
 
-// Bounds of a vote request.
+// Limits of a vote request.
 const (
 	voteTimeout  = time.Second
 	maxVoteBytes = 4 << 10
 )
 
-// serveVote answers whether this member grants the region's leader its vote to extend the leader lease.
+// serveVote responds whether this member votes for extending the leader lease of the region's leader.
 func (m *Member) serveVote(w http.ResponseWriter, r *http.Request) {
 	var request leadership.VoteRequest
 	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxVoteBytes)).Decode(&request); err != nil {
@@ -31,7 +31,7 @@
 	writeOK(w, voteReply{Granted: granted})
 }
 
-// voteClient requests votes of other members.
+// voteClient requests votes from other members.
 type voteClient struct{ http *http.Client }
 
 func newVoteClient(transport http.RoundTripper) *voteClient {
@@ -46,7 +46,7 @@
 
 func (c *voteClient) close() { c.http.CloseIdleConnections() }
 
-// request returns whether the member at an address grants its vote.
+// request requests a vote from the member at an address, and reports whether it was granted.
 func (c *voteClient) request(ctx context.Context, address string, vote leadership.VoteRequest) (bool, error) {
 	text, err := json.Marshal(vote)
 	if err != nil {
@@ -65,6 +65,6 @@
 		return false, fmt.Errorf("%w: status %d", ErrUnreadable, response.StatusCode)
 	}
 	var reply voteReply
-	err = readAnswer(response.Body, maxVoteBytes, &reply)
+	err = decodeResponse(response.Body, maxVoteBytes, &reply)
 	return reply.Granted, err
 }
--- a/internal/control/messages.go
+++ b/internal/control/messages.go
@@ -6,9 +6,10 @@
 	"wingmount/internal/clusterspec"
 )
 
-// HTTP paths of a server. Fields and paths are fixed: nodes and control machines of different versions work together.
+// HTTP paths of a server. Fields and paths must not change: nodes and control machines of different versions
+// interoperate.
 const (
-	pathRenew   = "/v1/assignment/renew"   // POST: a pollRequest; answers with a pollReply
+	pathRenew   = "/v1/assignment/renew"   // POST: a pollRequest; responds with a pollReply
 	pathOwners  = "/v1/assignment/owners"  // GET ?destination=NUMBER: an Owners
 	pathState   = "/v1/assignment/state"   // GET: a State
 	pathExplain = "/v1/assignment/explain" // GET ?destination=NUMBER or NAME: an Explanation
@@ -16,16 +17,16 @@
 	pathReload  = "/v1/assignment/reload"  // POST: reads the spec file again
 )
 
-// HTTP paths of a member, beside those of a server.
+// HTTP paths of a member, in addition to those of a server.
 const (
-	pathVote   = "/v1/quorum/consent" // POST: a leadership.VoteRequest; answers with a voteReply
+	pathVote   = "/v1/quorum/consent" // POST: a leadership.VoteRequest; responds with a voteReply
 	pathQuorum = "/v1/quorum/state"   // GET: a QuorumState
 	pathAdd    = "/v1/quorum/add"     // POST ?member=ID&region=NAME&address=HOST:PORT
-	pathRemove = "/v1/quorum/remove"  // POST ?member=ID: one that has ended for good
+	pathRemove = "/v1/quorum/remove"  // POST ?member=ID: a member that has stopped permanently
 	pathSpec   = "/v1/quorum/world"   // POST: a clusterspec.Delta as JSON, or a complete spec file: see serveSpec
 )
 
-// Codes of a failure.
+// Codes of error responses.
 const (
 	codeMalformed  = "malformed"
 	codeUnknown    = "unknown_node"
@@ -39,12 +40,12 @@
 	codeFailed     = "failed"
 )
 
-// failure is the body of an answer that is neither 200 nor 204.
+// failure is the body of an error response, whose status is neither 200 nor 204.
 type failure struct {
 	Code  string `json:"code"`
 	Error string `json:"error"`
-	// Leader is the address of the region's leader, if it is another control machine and known. On the wire the leader
-	// is the "holder"; a lease.Holder is a node.
+	// Leader is the address of the region's leader, empty if unknown or if this control machine is the leader. The wire
+	// name "holder" means the leader here; a lease.Holder is a node.
 	Leader string `json:"holder,omitempty"`
 }
 
@@ -55,14 +56,14 @@
 	Configs bool `json:"records,omitempty"`
 }
 
-// pollReply is the answer to a poll.
+// pollReply is the response to a poll.
 type pollReply struct {
 	lease.Reply
-	// Configs are those of the destinations that the reply assigns, if the poll asks for them.
+	// Configs contains the configs of the destinations that the reply assigns, if the poll asks for them.
 	Configs []clusterspec.DestinationConfig `json:"records,omitempty"`
 }
 
-// voteReply is the answer to a vote request.
+// voteReply is the response to a vote request.
 type voteReply struct {
 	Granted bool `json:"consents"`
 }
@@ -71,7 +72,7 @@
 type Owners struct {
 	Destination placement.DestinationID `json:"destination"`
 	Owners      []Owner                 `json:"owners"`
-	// Unknown reports that the spec has no such destination.
+	// Unknown reports that the cluster spec does not contain the destination.
 	Unknown bool `json:"unknown,omitempty"`
 }
 
--- a/internal/control/owner_cache.go
+++ b/internal/control/owner_cache.go
@@ -6,7 +6,8 @@
 	"wingmount/decide/placement"
 )
 
-// ownerCache keeps owners that were looked up. When it is full, a new entry evicts an expired one, or any.
+// ownerCache caches owners that were looked up. When it is full, a new entry evicts an expired entry if the search
+// finds one, or else an arbitrary entry.
 type ownerCache struct {
 	ttl        time.Duration
 	maxEntries int
@@ -20,7 +21,7 @@
 	expires time.Time
 }
 
-// maxEvictionSearches is the number of entries among which an expired one is searched for.
+// maxEvictionSearches is the maximum number of entries that evict searches for an expired one.
 const maxEvictionSearches = 8
 
 func newOwnerCache(ttl time.Duration, maxEntries int) *ownerCache {
@@ -49,7 +50,7 @@
 	c.entries[destination] = cachedOwners{owners: owners, expires: now.Add(c.ttl)}
 }
 
-// evict removes an expired entry, or else the last one searched.
+// evict removes the first expired entry that it finds, or else the last entry it searched.
 func (c *ownerCache) evict(now time.Time) {
 	searched := 0
 	for destination, entry := range c.entries {
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -16,35 +16,35 @@
 	"wingmount/internal/clusterspec"
 )
 
-// ServerConfig configures a server. A zero field has its default.
+// ServerConfig configures a server. Fields left zero get defaults.
 type ServerConfig struct {
 	Listen   string            // HOST:PORT; with port 0 any free port, see Server.Addr
 	SpecFile string            // cluster spec as TOML, see clusterspec.Parse; read if Spec is nil
 	Spec     *clusterspec.Spec // the cluster spec itself
-	StateDir string            // where the incarnation is kept
-	// NoEarlierLeases reports that no control machine has ever granted a lease to these nodes, so that the first one
-	// grants without a wait.
+	StateDir string            // folder of the state file, which contains the incarnation
+	// NoEarlierLeases asserts that no control machine has ever granted a lease to these nodes, so that the first one
+	// grants leases without a grace period.
 	NoEarlierLeases bool
-	// AboveIncarnation is an incarnation that the next one has to exceed. An operator sets it after the state was
-	// restored from a backup or lost, when it is sure that no other control machine runs.
+	// AboveIncarnation is a lower bound: the next incarnation is greater. An operator sets it after the state was lost or
+	// restored from a backup, and only if no other control machine is running.
 	AboveIncarnation lease.Incarnation
 	Lease            time.Duration // lease.DefaultDuration if zero
 	MaxDrift         float64       // lease.DefaultMaxDrift if zero
 	Slack            time.Duration // lease.DefaultSlack if zero
-	// Window is the time over which destinations count calls: quota that a node gives up is granted again that much
-	// later. 2 s if zero; none if negative.
+	// Window is the time over which destinations count calls. Quota that a node gives up is granted again only after
+	// this time. 2 s if zero; no delay if negative.
 	Window      time.Duration
 	MaxSessions int     // lease.DefaultMaxSessions if zero
 	LoadBound   float64 // placement.DefaultLoadBound if zero
 	// Debounce is how long changes are collected before a new placement, 500 ms if zero.
 	Debounce time.Duration
-	// InitialWait is how long the first placement waits for nodes without a session, 5 s if zero. Without it the first
-	// nodes would get all destinations, and give most of them up again.
+	// InitialWait is how long the first placement waits for nodes without a session, 5 s if zero. Otherwise the first
+	// nodes to connect would get all destinations, and then give most of them up again.
 	InitialWait time.Duration
-	// RestartGrace is how long a node that has closed its session stays an owner, one minute if zero: a restart migrates
-	// nothing. The other owners have its quota meanwhile.
+	// RestartGrace is how long a node that has closed its session remains an owner, one minute if zero, so that a restart
+	// moves no destination. The other owners get its quota in the meantime.
 	RestartGrace time.Duration
-	// ReloadOn has the spec file read again, as on a signal. Nil stands for never.
+	// ReloadOn triggers a reload of the spec file, for instance on a signal. If nil, there is no such trigger.
 	ReloadOn <-chan os.Signal
 	Log      *slog.Logger
 }
@@ -57,7 +57,7 @@
 	DefaultWindow       = 2 * time.Second
 )
 
-// Bounds of the HTTP server.
+// Limits of the HTTP server.
 const (
 	headerTimeout    = 5 * time.Second
 	bodyTimeout      = 10 * time.Second
@@ -65,9 +65,9 @@
 	idleTimeout      = 2 * time.Minute
 	shutdownTimeout  = 2 * time.Second
 	maxHeaderBytes   = 8 << 10
-	maxSmallRequest  = 64 << 10 // bytes of a request that takes no slot of the large ones
+	maxSmallRequest  = 64 << 10 // bytes; a longer request needs a slot of largeRequests
 	maxRequest       = 16 << 20 // bytes
-	maxLargeRequests = 16       // at once
+	maxLargeRequests = 16       // concurrent
 )
 
 func (c ServerConfig) withDefaults() ServerConfig {
@@ -98,44 +98,44 @@
 	return c
 }
 
-// Server assigns destinations to the nodes of a region: a control process by itself, or the part of a [Member] that
-// leads its region. Its methods may be called from any goroutine.
+// Server assigns destinations to the nodes of a region. It runs standalone, or inside the [Member] that leads the region.
+// Its exported methods may be called from any goroutine.
 type Server struct {
 	config        ServerConfig
 	origin        time.Time
-	now           func() time.Duration // the time since origin, by the monotonic clock
-	folder        *stateFolder         // nil for the part of a member, whose state is in the log
+	now           func() time.Duration // returns the monotonic time since origin
+	folder        *stateFolder         // nil inside a member, whose state is in the log
 	mayGrant      func() bool          // whether leases may be granted now
-	listener      net.Listener         // nil for the part of a member
+	listener      net.Listener         // nil inside a member
 	table         atomic.Pointer[placement.Table]
-	wake          chan struct{} // has the loop look again
-	largeRequests chan struct{} // slots
+	wake          chan struct{} // makes the loop check for due work
+	largeRequests chan struct{} // slots for requests longer than maxSmallRequest
 
-	// specChanges is held while a spec is put in force, and locked before mu. Who holds either may read spec.
+	// specChanges is held while a spec is applied, and locked before mu. spec may be read while holding either.
 	specChanges sync.Mutex
 
-	// onGraceEnd keeps the state in which no lease of an earlier incarnation is valid. endGrace calls it with mu locked.
+	// onGraceEnd persists the state once no lease of an earlier incarnation is valid. endGrace calls it with mu locked.
 	onGraceEnd func(serverState) error
 
 	mu      sync.Mutex // locked before Member.mu, which mayGrant and onGraceEnd lock
 	state   serverState
 	spec    *clusterspec.Index
 	grantor *lease.Grantor
-	polls   map[lease.SessionID]chan struct{} // closed when there is an update for a poll that waits
-	// departed are nodes that have closed their session, and the time until which they stay owners.
+	polls   map[lease.SessionID]chan struct{} // one per waiting poll; closed when there is an update for it
+	// departed contains the nodes that have closed their session, with the time until which they remain owners.
 	departed         map[placement.NodeID]time.Duration
 	draining         map[placement.NodeID]bool
 	placementPending bool
 	placementDue     time.Duration // when the pending placement is computed
 }
 
-// NewServer reads the cluster spec, begins the next incarnation, which is on disk when it returns, and listens. The caller
-// has to call Run. It returns the errors of clusterspec.Load, ErrLocked if another process uses the state folder,
-// ErrIncarnations, and errors of the state file and of the listener.
+// NewServer reads the cluster spec, begins the next incarnation and listens. The incarnation is on disk when NewServer
+// returns. The caller must call Run. NewServer returns the errors of clusterspec.Load, ErrLocked if another process uses
+// the state folder, ErrIncarnations, and errors of the state file and the listener.
 func NewServer(config ServerConfig) (*Server, error) {
 	config = config.withDefaults()
 	if config.Lease > lease.MaxDuration {
-		return nil, fmt.Errorf("a lease of %v: %v at most", config.Lease, lease.MaxDuration)
+		return nil, fmt.Errorf("lease duration %v exceeds the maximum of %v", config.Lease, lease.MaxDuration)
 	}
 	if config.Spec == nil {
 		spec, err := clusterspec.Load(config.SpecFile)
@@ -162,7 +162,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("listening: %w", err)
 	}
-	state, previous, err := folder.begin(config.AboveIncarnation, config.Lease)
+	state, previous, err := folder.beginIncarnation(config.AboveIncarnation, config.Lease)
 	if err != nil {
 		return nil, errors.Join(err, listener.Close())
 	}
@@ -173,14 +173,14 @@
 	return s, nil
 }
 
-// earlierLeases are the leases that earlier incarnations may have granted.
+// earlierLeases describes the leases that earlier incarnations may have granted.
 type earlierLeases struct {
-	longest time.Duration
-	none    bool // there are none
+	longest time.Duration // the longest duration
+	none    bool          // no lease was granted
 }
 
-// newRegionServer returns a server that grants as the incarnation of a state. It has no listener and no folder, and keeps
-// no state at the end of grace.
+// newRegionServer returns a server that grants leases under the incarnation of a state. It has no listener and no folder,
+// and does not persist the end of the grace period.
 func newRegionServer(config ServerConfig, state serverState, earlier earlierLeases) *Server {
 	origin := time.Now()
 	s := &Server{
@@ -217,7 +217,7 @@
 // Addr returns the address that the server listens on.
 func (s *Server) Addr() string { return s.listener.Addr().String() }
 
-// Run serves until the context ends.
+// Run serves until the context is done. It returns an error of the listener or of unlocking the state folder.
 func (s *Server) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -229,7 +229,7 @@
 	return errors.Join(err, s.folder.close())
 }
 
-// serve serves a listener until the context ends.
+// serve serves HTTP on a listener until the context is done or the listener fails.
 func serve(ctx context.Context, listener net.Listener, handler http.Handler, log *slog.Logger) error {
 	server := &http.Server{
 		Handler:           handler,
@@ -259,10 +259,10 @@
 	return err
 }
 
-// loop ends sessions and computes placements when they are due, until the context ends.
+// loop expires sessions and computes placements when they are due, until the context is done.
 func (s *Server) loop(ctx context.Context) {
 	for {
-		timer := time.NewTimer(s.runDue(ctx))
+		timer := time.NewTimer(s.runDueWork(ctx))
 		select {
 		case <-ctx.Done():
 			timer.Stop()
@@ -279,14 +279,14 @@
 	}
 }
 
-// Bounds of the time that the loop waits.
+// Limits of the time that the loop waits.
 const (
 	minLoopWait = time.Millisecond
 	maxLoopWait = time.Minute
 )
 
-// runDue does what is due now, and returns how long nothing else is.
-func (s *Server) runDue(ctx context.Context) time.Duration {
+// runDueWork expires sessions and computes a placement if they are due, and returns the time until the next work is due.
+func (s *Server) runDueWork(ctx context.Context) time.Duration {
 	s.mu.Lock()
 	now := s.now()
 	s.expireSessions(now)
--- a/internal/control/server_http.go
+++ b/internal/control/server_http.go
@@ -14,7 +14,7 @@
 	"wingmount/internal/consensus"
 )
 
-// handler serves the paths of a server. Polls end with the context.
+// handler returns the HTTP handler of a server. Pending polls are answered when the context is done.
 func (s *Server) handler(ctx context.Context) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST "+pathRenew, func(w http.ResponseWriter, r *http.Request) { s.serveRenew(ctx, w, r) })
@@ -26,7 +26,7 @@
 	return mux
 }
 
-// serveRenew answers a poll: at once if there is an update, or else when there is one or its wait is over.
+// serveRenew responds to a poll immediately if there is an update, or else when an update arrives or the wait has elapsed.
 func (s *Server) serveRenew(ctx context.Context, w http.ResponseWriter, r *http.Request) {
 	poll, err := s.readPoll(w, r)
 	if err != nil {
@@ -39,7 +39,7 @@
 		return
 	}
 	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(wait + writeTimeout))
-	id, updated, err := s.receive(poll)
+	id, updated, err := s.receivePoll(poll)
 	if errors.Is(err, lease.ErrReclaimRequired) {
 		writeOK(w, pollReply{Reply: lease.Reply{Incarnation: s.grantor.Incarnation(), Sequence: poll.Sequence, ReclaimRequired: true}})
 		return
@@ -56,7 +56,7 @@
 		s.abandonPoll(id, updated)
 		return
 	}
-	reply, err := s.answer(id, poll, updated)
+	reply, err := s.answerPoll(id, poll, updated)
 	if err != nil {
 		writeError(w, err)
 		return
@@ -64,7 +64,8 @@
 	writeOK(w, reply)
 }
 
-// waitForUpdate waits for an update, until the wait is over or the server ends. It returns false if the client is gone.
+// waitForUpdate waits until there is an update, the wait has elapsed or the server stops. It returns false if the client
+// has disconnected.
 func waitForUpdate(server, client context.Context, updated <-chan struct{}, wait time.Duration) bool {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
@@ -78,7 +79,7 @@
 	return true
 }
 
-// pollWait returns how long a poll waits: as long as it asks for, and a part of the lease at most.
+// pollWait returns how long a poll waits: the requested time, limited to 1/renewalsPerLease of the lease.
 func (s *Server) pollWait(r *http.Request) (time.Duration, error) {
 	text := r.URL.Query().Get("wait")
 	if text == "" {
@@ -91,8 +92,8 @@
 	return min(time.Duration(milliseconds)*time.Millisecond, s.config.Lease/renewalsPerLease), nil
 }
 
-// errBusy reports that there are as many large requests at once as may be, and errSpecBusy that another change of the spec
-// through this member is in progress. The text that clients and operators see is the same, see docs/ROADMAP.md.
+// errBusy reports that maxLargeRequests requests are in progress, and errSpecBusy that another change of the spec through
+// this member is in progress. Clients and operators get the same text for both: see docs/ROADMAP.md.
 var (
 	errBusy     = errors.New(busyText)
 	errSpecBusy = errors.New(busyText)
@@ -100,7 +101,7 @@
 
 const busyText = "too many large requests at once"
 
-// readPoll reads the body of a poll.
+// readPoll reads and decodes the body of a poll. It returns errBusy if there is no slot for a large request.
 func (s *Server) readPoll(w http.ResponseWriter, r *http.Request) (pollRequest, error) {
 	maxBytes := int64(maxSmallRequest)
 	if r.ContentLength > maxSmallRequest {
@@ -157,13 +158,13 @@
 	}
 }
 
-// writeError answers with an error.
+// writeError responds with an error.
 func writeError(w http.ResponseWriter, err error) {
 	status, code := statusOf(err)
 	writeJSON(w, status, failure{Code: code, Error: err.Error()})
 }
 
-// writeOutcome answers a request without a result: 204, or the error.
+// writeOutcome responds to a request that has no result, with 204 or an error.
 func writeOutcome(w http.ResponseWriter, err error) {
 	if err != nil {
 		writeError(w, err)
@@ -172,7 +173,7 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// writeOK answers with a value.
+// writeOK responds with a value as JSON.
 func writeOK(w http.ResponseWriter, value any) { writeJSON(w, http.StatusOK, value) }
 
 func writeJSON(w http.ResponseWriter, status int, value any) {
@@ -181,14 +182,14 @@
 		w.WriteHeader(http.StatusInternalServerError)
 		return
 	}
-	w.Header()["Date"] = nil // left out, since each node gets an answer every few seconds
+	w.Header()["Date"] = nil // omitted to save bytes, since each node gets a response every few seconds
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set("Content-Length", strconv.Itoa(len(text)))
 	w.WriteHeader(status)
 	_, _ = w.Write(text)
 }
 
-// serveOwners answers with the owners of a destination.
+// serveOwners responds with the owners of a destination.
 func (s *Server) serveOwners(w http.ResponseWriter, r *http.Request) {
 	destination, err := s.parseDestination(r)
 	if err != nil {
@@ -198,7 +199,7 @@
 	writeOK(w, s.owners(destination))
 }
 
-// parseDestination returns the destination that a request names, by number or name.
+// parseDestination returns the destination in a request's query, which is a number or a name.
 func (s *Server) parseDestination(r *http.Request) (placement.DestinationID, error) {
 	text := r.URL.Query().Get("destination")
 	number, err := strconv.ParseUint(text, 10, 32)
@@ -213,7 +214,7 @@
 	return 0, fmt.Errorf("%w: destination: %q is no number, and no destination's name", lease.ErrMalformed, text)
 }
 
-// parseDraining returns the node that a request names, and whether it is to drain.
+// parseDraining returns the node in a request's query, and whether it should drain.
 func parseDraining(r *http.Request) (placement.NodeID, bool, error) {
 	query := r.URL.Query()
 	draining, err := strconv.ParseBool(query.Get("draining"))
@@ -233,8 +234,7 @@
 	writeOutcome(w, s.Drain(node, draining))
 }
 
-// serveReload reads the spec file again. All errors are answered as malformed, also an unreadable file and
-// ErrConfigsWithdrawn.
+// serveReload reloads the spec file. All errors get codeMalformed, including an unreadable file and ErrConfigsWithdrawn.
 func (s *Server) serveReload(w http.ResponseWriter, _ *http.Request) {
 	err := s.Reload()
 	if err != nil {
@@ -243,10 +243,10 @@
 	writeOutcome(w, err)
 }
 
-// serveState answers with the state of the server.
+// serveState responds with the state of the server.
 func (s *Server) serveState(w http.ResponseWriter, _ *http.Request) { writeOK(w, s.State()) }
 
-// serveExplain answers with the reasons for a destination's owners.
+// serveExplain responds with the reasons for a destination's owners.
 func (s *Server) serveExplain(w http.ResponseWriter, r *http.Request) {
 	destination, err := s.parseDestination(r)
 	if err != nil {
--- a/internal/control/server_placement.go
+++ b/internal/control/server_placement.go
@@ -8,12 +8,12 @@
 	"wingmount/decide/placement"
 )
 
-// maxOwnerChangesPerLock is the number of destinations that get new owners before polls are served again.
+// maxOwnerChangesPerLock is the number of destinations that get new owners before Server.mu is released for polls.
 const maxOwnerChangesPerLock = 1000
 
-// schedulePlacement has a new placement computed once changes have been collected for Debounce, but not before
-// earliest, nor before earlier leases have ended; the first one, while nodes lack a session, not before InitialWait.
-// A pending placement is not delayed. The caller holds mu.
+// schedulePlacement schedules a new placement after changes have been collected for Debounce, but not before earliest and
+// not before earlier leases have expired. The first placement also waits for InitialWait if some nodes have no session.
+// A placement that is already pending is not delayed. The caller holds mu.
 func (s *Server) schedulePlacement(now, earliest time.Duration) {
 	if s.table.Load() == nil && s.grantor.SessionCount() < len(s.spec.Nodes) {
 		earliest = max(earliest, s.config.InitialWait)
@@ -29,9 +29,9 @@
 	}
 }
 
-// computePlacement computes a placement on the eligible nodes and puts changed owners in force. After an error of the
-// computation, which it logs, the owners stay and the grace period does not end; it is not repeated, and the next change
-// of nodes, sessions or spec computes again.
+// computePlacement computes a placement on the eligible nodes and applies changed owners. If the computation fails, it
+// logs the error, keeps the current owners and does not end the grace period. It does not retry; the next change of
+// nodes, sessions or spec schedules another placement.
 func (s *Server) computePlacement(ctx context.Context) {
 	s.mu.Lock()
 	now := s.now()
@@ -41,7 +41,7 @@
 	previous := s.table.Load()
 	base := previous
 	if previous == nil {
-		// Nodes have reclaimed what earlier incarnations assigned: it stays.
+		// Nodes have reclaimed assignments of earlier incarnations. They keep them.
 		base = placement.Restore(input.Nodes, s.grantor.AcceptingNodes())
 	}
 	s.mu.Unlock()
@@ -75,8 +75,8 @@
 	return departed && now < until
 }
 
-// expireDepartures removes nodes from departed that are back or whose RestartGrace is over, and schedules a placement for
-// when that of the next one is. The caller holds mu.
+// expireDepartures removes nodes from departed that have a session again or whose RestartGrace has elapsed. It schedules a
+// placement for the time when the RestartGrace of the next node elapses. The caller holds mu.
 func (s *Server) expireDepartures(now time.Duration) {
 	maps.DeleteFunc(s.departed, func(id placement.NodeID, until time.Duration) bool {
 		return now >= until || s.grantor.HasSession(id)
@@ -86,7 +86,7 @@
 	}
 }
 
-// applyOwners puts the owners of some destinations in force.
+// applyOwners passes the owners of some destinations to the grantor, and notifies the polls that this affects.
 func (s *Server) applyOwners(table *placement.Table, destinations []placement.DestinationID) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -97,12 +97,12 @@
 	s.notifyPolls()
 }
 
-// endGrace ends the grace period once leases of earlier incarnations have surely ended: reclaimed destinations that the
-// placement gives no owner lose theirs, polls that wait are answered, and the end is persisted, so that the next start
-// waits for leases of the present duration only.
+// endGrace ends the grace period once leases of earlier incarnations must have expired. Reclaimed destinations without
+// owners in the placement lose their owners, and waiting polls are answered. The end is persisted, so that the next start
+// waits only for leases of the current duration.
 //
-// A failed write is logged and not repeated by endGrace. Until Server.Drain writes the state, a start waits for the
-// longer lease, which is safe.
+// A failed write is logged, and endGrace does not retry it. Until Server.Drain writes the state, a restarted server waits
+// for the longer lease, which is safe.
 func (s *Server) endGrace() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/control/server_sessions.go
+++ b/internal/control/server_sessions.go
@@ -8,18 +8,18 @@
 	"wingmount/internal/clusterspec"
 )
 
-// NodeError reports a node that the cluster spec does not have.
+// NodeError reports a node that the cluster spec does not contain.
 type NodeError struct{ Node placement.NodeID }
 
 // Error implements error.
 func (e *NodeError) Error() string { return "there is no node " + string(e.Node) }
 
-// ErrNoConfigs reports that a node asks for the configs of its destinations, and the cluster spec has none.
+// ErrNoConfigs reports that a node asks for the configs of its destinations but the cluster spec contains none.
 var ErrNoConfigs = errors.New("the world has no endpoints of destinations, and the node has none of its own")
 
-// receive handles the request of a poll. It returns the session, 0 if the request has closed it, and a channel that is
-// closed when there is an update; nil if the poll can be answered at once.
-func (s *Server) receive(poll pollRequest) (lease.SessionID, <-chan struct{}, error) {
+// receivePoll passes the request of a poll to the grantor. It returns the session, or 0 if the request has closed it, and
+// a channel that is closed when there is an update. The channel is nil if the poll can be answered immediately.
+func (s *Server) receivePoll(poll pollRequest) (lease.SessionID, <-chan struct{}, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	request := poll.Request
@@ -36,7 +36,7 @@
 	s.expireSessions(now)
 	hadSession := s.grantor.HasSession(request.Node)
 	id, err := s.grantor.Receive(now, request)
-	s.noteSession(now, request, hadSession)
+	s.recordSessionChange(now, request, hadSession)
 	s.notifyPolls()
 	if err != nil || id == 0 {
 		return id, nil, err
@@ -53,9 +53,9 @@
 	return id, updated, nil
 }
 
-// noteSession schedules a placement if a request has opened a node's session, and lets a node that has closed it stay
-// an owner for RestartGrace. The caller holds mu.
-func (s *Server) noteSession(now time.Duration, request lease.Request, hadSession bool) {
+// recordSessionChange schedules a placement if a request has opened a session of a node that is not in departed. If the
+// request has closed the node's session, the node remains an owner for RestartGrace. The caller holds mu.
+func (s *Server) recordSessionChange(now time.Duration, request lease.Request, hadSession bool) {
 	hasSession := s.grantor.HasSession(request.Node)
 	switch {
 	case hasSession && !hadSession:
@@ -69,14 +69,16 @@
 	s.expireSessions(now)
 }
 
-// answer renews a session.
-func (s *Server) answer(id lease.SessionID, poll pollRequest, updated <-chan struct{}) (pollReply, error) {
+// answerPoll renews the lease of a session and returns the reply to its poll. It returns errNotLeader if the server may no
+// longer grant leases.
+func (s *Server) answerPoll(id lease.SessionID, poll pollRequest, updated <-chan struct{}) (pollReply, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.removePoll(id, updated)
 	now := s.now()
 	s.expireSessions(now)
-	// Checked last: leases that were granted before count from the sending of their requests.
+	// Checked last, just before the lease is granted. Leases granted earlier need no check: they started when their
+	// requests were sent.
 	if !s.mayGrant() {
 		return pollReply{}, errNotLeader
 	}
@@ -101,21 +103,22 @@
 	return configs
 }
 
-// abandonPoll ends the wait of a poll whose client is gone.
+// abandonPoll removes a poll whose client has disconnected.
 func (s *Server) abandonPoll(id lease.SessionID, updated <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.removePoll(id, updated)
 }
 
-// removePoll removes a poll, unless a later one of its session waits. The caller holds mu.
+// removePoll removes a poll, unless a later poll of its session has replaced it. The caller holds mu.
 func (s *Server) removePoll(id lease.SessionID, updated <-chan struct{}) {
 	if current, ok := s.polls[id]; ok && current == updated {
 		delete(s.polls, id)
 	}
 }
 
-// expireSessions ends sessions whose lease has surely ended. The caller holds mu.
+// expireSessions ends sessions whose leases must have expired, and schedules placements without their nodes. The caller
+// holds mu.
 func (s *Server) expireSessions(now time.Duration) {
 	for _, id := range s.grantor.Advance(now) {
 		s.config.Log.Info("control: session expired", "node", id)
@@ -124,7 +127,7 @@
 	s.notifyPolls()
 }
 
-// notifyPolls wakes the polls of sessions that have an update. The caller holds mu.
+// notifyPolls closes the channels of waiting polls whose sessions have an update. The caller holds mu.
 func (s *Server) notifyPolls() {
 	s.grantor.TakeUpdated(func(id lease.SessionID) {
 		if updated, ok := s.polls[id]; ok {
@@ -134,14 +137,14 @@
 	})
 }
 
-// owners returns the owners of a destination, without those that have no session if another one has.
+// owners returns the owners of a destination. It omits owners without a session if at least one owner has a session.
 func (s *Server) owners(destination placement.DestinationID) Owners {
 	all := s.table.Load().Owners(destination)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var connected, disconnected []Owner
 	for _, id := range all {
-		node, _ := s.spec.Node(id) // a node that was removed has no address
+		node, _ := s.spec.Node(id) // the address is empty if the node was removed from the spec
 		owner := Owner{Node: id, Address: node.Address}
 		if s.grantor.HasSession(id) {
 			connected = append(connected, owner)
--- a/internal/control/server_spec.go
+++ b/internal/control/server_spec.go
@@ -8,11 +8,11 @@
 	"wingmount/internal/clusterspec"
 )
 
-// ErrConfigsWithdrawn reports a spec without endpoints while the spec in force has some, which nodes may depend on. A
-// server that is started with such a spec accepts it.
+// ErrConfigsWithdrawn reports that a spec without endpoints would replace one with endpoints, on which nodes may depend.
+// A server that is started with a spec without endpoints accepts it.
 var ErrConfigsWithdrawn = errors.New("the world in force has endpoints of destinations, and this one has none")
 
-// SetSpec puts a cluster spec in force. After an error the previous spec stays in force.
+// SetSpec validates and applies a cluster spec. If it returns an error, the current spec is unchanged.
 func (s *Server) SetSpec(spec *clusterspec.Spec) error {
 	if err := spec.Validate(); err != nil {
 		return err
@@ -27,7 +27,7 @@
 	return nil
 }
 
-// applySpec puts a valid cluster spec in force.
+// applySpec applies a valid cluster spec, and schedules a placement.
 func (s *Server) applySpec(spec *clusterspec.Spec) {
 	s.specChanges.Lock()
 	defer s.specChanges.Unlock()
@@ -43,7 +43,7 @@
 	s.schedulePlacement(s.now(), 0)
 }
 
-// Reload reads the spec file again. After an error the previous spec stays in force.
+// Reload reads and applies the spec file. If it returns an error, the current spec is unchanged.
 func (s *Server) Reload() error {
 	spec, err := clusterspec.Load(s.config.SpecFile)
 	if err != nil {
@@ -64,7 +64,7 @@
 }
 
 // Drain sets whether a node is draining: a draining node owns no destination. The change is on disk when Drain returns.
-// The part of a member has no folder and panics: see Member.Drain.
+// It must not be called on the server of a Member, which has no state folder: it would panic. Use Member.Drain instead.
 func (s *Server) Drain(id placement.NodeID, draining bool) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/control/server_state.go
+++ b/internal/control/server_state.go
@@ -16,10 +16,10 @@
 	lockName  = "control.lock"
 )
 
-// ErrIncarnations reports that the highest incarnation has been used.
-var ErrIncarnations = errors.New("there are no more incarnations")
+// ErrIncarnations reports that there is no incarnation left, since lease.MaxIncarnation has been used.
+var ErrIncarnations = errors.New("maximum incarnation exceeded")
 
-// serverState is what a server keeps on disk.
+// serverState is the content of a server's state file.
 type serverState struct {
 	Incarnation lease.Incarnation `json:"incarnation"`
 	// LongestLease is the longest lease that may still be valid.
@@ -36,7 +36,7 @@
 // openStateFolder locks a folder, which it creates if there is none.
 func openStateFolder(path string) (*stateFolder, error) {
 	if err := os.MkdirAll(path, 0o700); err != nil {
-		return nil, fmt.Errorf("making the state folder: %w", err)
+		return nil, fmt.Errorf("creating the state folder: %w", err)
 	}
 	lock, err := lockFile(filepath.Join(path, lockName))
 	if err != nil {
@@ -45,9 +45,9 @@
 	return &stateFolder{path: path, lock: lock}, nil
 }
 
-// begin writes and returns the next incarnation, which exceeds a given one, and returns the previous state. The
-// longest lease that may be valid is the longer one of the previous state and of this server.
-func (f *stateFolder) begin(above lease.Incarnation, duration time.Duration) (next, previous serverState, err error) {
+// beginIncarnation persists and returns a state with the next incarnation, which is greater than above, and returns the
+// previous state. The longest lease that may be valid is the longer of the previous state's and this server's.
+func (f *stateFolder) beginIncarnation(above lease.Incarnation, duration time.Duration) (next, previous serverState, err error) {
 	if err := readState(f.file(), &previous); err != nil {
 		return next, previous, err
 	}
@@ -62,7 +62,7 @@
 
 func (f *stateFolder) file() string { return filepath.Join(f.path, stateName) }
 
-// persist writes a state.
+// persist writes a state to disk.
 func (f *stateFolder) persist(state serverState) error { return writeState(f.file(), state) }
 
 // close releases the lock.
--- a/internal/control/server_status.go
+++ b/internal/control/server_status.go
@@ -9,9 +9,9 @@
 // State is the state of a server.
 type State struct {
 	Incarnation lease.Incarnation `json:"incarnation"`
-	// SupersededBy is a newer incarnation that a node has seen, 0 for none. A server that is superseded answers no node.
+	// SupersededBy is a newer incarnation that a node has reported, 0 if none. A superseded server rejects all polls.
 	SupersededBy lease.Incarnation `json:"superseded,omitempty"`
-	// GraceSeconds is how long the server still waits for leases of earlier incarnations to end.
+	// GraceSeconds is the remaining time until leases of earlier incarnations must have expired.
 	GraceSeconds float64     `json:"waits_seconds"`
 	LeaseSeconds float64     `json:"lease_seconds"`
 	Destinations int         `json:"destinations"`
@@ -19,27 +19,27 @@
 	Nodes        []NodeState `json:"nodes"`
 }
 
-// NodeState is the state of a node.
+// NodeState describes a node.
 type NodeState struct {
 	Node     placement.NodeID `json:"node"`
 	Region   string           `json:"region"`
 	Zone     string           `json:"zone"`
 	Address  string           `json:"address"`
 	Draining bool             `json:"draining"`
-	// Load is the node's load by the placement, in messages a second.
+	// Load is the node's load according to the placement, in messages per second.
 	Load float64 `json:"load"`
-	// Sessions are those of its processes that have not ended.
+	// Sessions contains the sessions of the node's processes that have not ended.
 	Sessions []SessionState `json:"sessions"`
 }
 
-// SessionState is the state of a session.
+// SessionState describes a session.
 type SessionState struct {
 	Session        lease.SessionID `json:"session"`
 	Active         bool            `json:"active"` // it has the node's assignments
 	Assignments    int             `json:"assignments"`
 	Version        lease.Version   `json:"version"`
 	AppliedVersion lease.Version   `json:"applied"`
-	ExpiresSeconds float64         `json:"expires_seconds"` // until its lease has surely ended
+	ExpiresSeconds float64         `json:"expires_seconds"` // until its lease must have expired
 }
 
 // State returns the state of the server.
@@ -78,25 +78,25 @@
 	return state
 }
 
-// Explanation gives the reasons for a destination's owners, and what is granted of the destination.
+// Explanation contains the reasons for a destination's owners, and the grants of its quota.
 type Explanation struct {
 	Placement placement.Explanation `json:"placement"`
-	// Grants are by process of a node. Their JSON name has nothing to do with "holder" in a quorum's state, which is the
-	// leader of a region.
+	// Grants contains one element for each process of a node. The JSON name "holders" is unrelated to "holder" in a
+	// quorum's state, which is the leader of a region.
 	Grants []GrantState `json:"holders"`
 }
 
-// GrantState is what one process of a node is granted of a destination.
+// GrantState describes the grant of a destination to one process of a node.
 type GrantState struct {
 	Node       placement.NodeID `json:"node"`
-	Assignment lease.Assignment `json:"assignment"` // as it was sent last
-	// Reserved is the largest part of the limit that the process may still use.
+	Assignment lease.Assignment `json:"assignment"` // the latest one sent
+	// Reserved is the largest fraction of the limit that the process may still use.
 	Reserved       float64 `json:"reserved"`
 	Confirmed      bool    `json:"confirmed"` // the process has applied the assignment
 	ExpiresSeconds float64 `json:"expires_seconds"`
 }
 
-// Explain returns the reasons for a destination's owners.
+// Explain returns the reasons for a destination's owners, and its grants.
 func (s *Server) Explain(destination placement.DestinationID) Explanation {
 	explanation := Explanation{Placement: s.table.Load().Explain(destination)}
 	s.mu.Lock()
--- a/internal/control/state_machine.go
+++ b/internal/control/state_machine.go
@@ -14,8 +14,8 @@
 	"wingmount/internal/clusterspec"
 )
 
-// replicatedState is the state that all members of the quorum agree on, and the content of a snapshot. Fields that views
-// share are replaced, never changed in place.
+// replicatedState is the state that the log replicates, and the content of a snapshot. Views share its maps, slices and
+// pointers, which are therefore replaced and never modified in place. Leadership is cloned for each view instead.
 type replicatedState struct {
 	Leadership   *leadership.State              `json:"book"`
 	Addresses    map[leadership.MemberID]string `json:"addresses"` // of the members, HOST:PORT
@@ -30,30 +30,30 @@
 type stagedChange struct {
 	Change   uint64            `json:"change"`
 	NextPart int               `json:"next"`
-	Bytes    int               `json:"bytes"` // of the commands so far
+	Bytes    int               `json:"bytes"` // total size of the commands so far
 	Delta    clusterspec.Delta `json:"delta"`
 }
 
-// stateView is the replicated state after a batch of entries. It does not change.
+// stateView is an immutable copy of the replicated state after a batch of entries.
 type stateView struct {
 	replicatedState
-	// effective are the candidacies and renewals of this process that took effect since the previous view.
+	// effective contains the nonces of this process's candidacies and renewals that took effect since the previous view.
 	effective []leadership.Nonce
 }
 
-// stateMachine applies the replicated log. It implements consensus.StateMachine; those methods are called by the goroutine
-// of the consensus node. The others may be called from any goroutine.
+// stateMachine applies the replicated log. The goroutine of the consensus node calls the methods of
+// consensus.StateMachine. The other methods may be called from any goroutine.
 type stateMachine struct {
-	process leadership.ProcessID // this one
+	process leadership.ProcessID // of this member
 	notify  func()               // called after each new view; it must not block
 
-	state     replicatedState // of the consensus goroutine
+	state     replicatedState // owned by the consensus goroutine, like effective
 	effective []leadership.Nonce
 
 	mu      sync.Mutex
-	unseen  *stateView // the latest view, nil once takeView has returned it
+	pending *stateView // the latest view, nil once takeView has returned it
 	current *stateView
-	waiting map[uint64]chan error // for outcomes, by command
+	waiting map[uint64]chan error // receivers of outcomes, by command ID
 }
 
 func newStateMachine(process leadership.ProcessID, notify func()) *stateMachine {
@@ -69,7 +69,7 @@
 func (m *stateMachine) Apply(_ uint64, data []byte) {
 	var c command
 	if err := json.Unmarshal(data, &c); err != nil {
-		return // ignored by all members alike
+		return // every member ignores it
 	}
 	err := m.apply(c, len(data))
 	m.mu.Lock()
@@ -80,18 +80,18 @@
 	}
 }
 
-// apply applies a command. The result depends on the state and the command only.
+// apply applies a command. It must be deterministic: the result depends only on the state and the command.
 func (m *stateMachine) apply(c command, size int) error {
 	s := &m.state
 	switch {
 	case c.Join != nil:
-		return errUnless(s.Leadership.Join(*c.Join))
+		return noEffectUnless(s.Leadership.Join(*c.Join))
 	case c.Candidacy != nil:
-		return m.noteOwn(s.Leadership.Elect(*c.Candidacy), c.Candidacy.Process, c.Candidacy.Nonce)
+		return m.recordIfOwn(s.Leadership.Elect(*c.Candidacy), c.Candidacy.Process, c.Candidacy.Nonce)
 	case c.Renewal != nil:
-		return m.noteOwn(s.Leadership.Renew(*c.Renewal), c.Renewal.Process, c.Renewal.Nonce)
+		return m.recordIfOwn(s.Leadership.Renew(*c.Renewal), c.Renewal.Process, c.Renewal.Nonce)
 	case c.Resignation != nil:
-		return errUnless(s.Leadership.Resign(*c.Resignation))
+		return noEffectUnless(s.Leadership.Resign(*c.Resignation))
 	case c.AddMember != nil:
 		return s.addMember(*c.AddMember)
 	case c.RemoveMember != nil:
@@ -104,20 +104,21 @@
 	return ErrNoEffect
 }
 
-// errUnless returns ErrNoEffect unless a command was effective.
-func errUnless(effective bool) error {
+// noEffectUnless returns ErrNoEffect unless a command was effective.
+func noEffectUnless(effective bool) error {
 	if effective {
 		return nil
 	}
 	return ErrNoEffect
 }
 
-// noteOwn notes an effective candidacy or renewal of this process.
-func (m *stateMachine) noteOwn(effective bool, process leadership.ProcessID, nonce leadership.Nonce) error {
+// recordIfOwn records the nonce of an effective candidacy or renewal if it is of this process. It returns ErrNoEffect if
+// the command was not effective.
+func (m *stateMachine) recordIfOwn(effective bool, process leadership.ProcessID, nonce leadership.Nonce) error {
 	if effective && process == m.process {
 		m.effective = append(m.effective, nonce)
 	}
-	return errUnless(effective)
+	return noEffectUnless(effective)
 }
 
 func (s *replicatedState) addMember(c addMember) error {
@@ -152,9 +153,9 @@
 	return nil
 }
 
-// stageSpecChange stages a part of a change of the cluster spec, and applies the change with its last part. A change
-// that does not follow the present version, or a part out of order, is a conflict. Part 0 begins the staging anew, also
-// when it is committed a second time.
+// stageSpecChange stages a part of a change to the cluster spec, and applies the whole change at its last part. It returns
+// ErrConflict if the change is not based on the current version, or if a part is out of order or exceeds the maximum
+// size. Part 0 restarts the staging, also when it is committed a second time.
 func (s *replicatedState) stageSpecChange(c specChange, size int) error {
 	if c.Previous != s.SpecVersion {
 		s.Staged = nil
@@ -166,7 +167,7 @@
 	if s.Staged == nil || s.Staged.Change != c.Change || s.Staged.NextPart != c.Part || s.Staged.Bytes+size > clusterspec.MaxBytes {
 		return fmt.Errorf("%w: part %d of a change of the world does not follow", ErrConflict, c.Part)
 	}
-	staged := *s.Staged // a copy: a view may share the present one
+	staged := *s.Staged // a copy, since a view may share the current one
 	staged.NextPart++
 	staged.Bytes += size
 	staged.Delta.Append(c.Delta)
@@ -186,20 +187,20 @@
 	view.Leadership = m.state.Leadership.Clone()
 	m.effective = nil
 	m.mu.Lock()
-	if m.unseen != nil { // the member has not seen these either
-		view.effective = append(slices.Clone(m.unseen.effective), view.effective...)
+	if m.pending != nil { // the member has not received these either
+		view.effective = append(slices.Clone(m.pending.effective), view.effective...)
 	}
-	m.unseen, m.current = view, view
+	m.pending, m.current = view, view
 	m.mu.Unlock()
 	m.notify()
 }
 
-// takeView returns the latest view, nil if it was returned before.
+// takeView returns the latest view, or nil if it has already returned that view.
 func (m *stateMachine) takeView() *stateView {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	view := m.unseen
-	m.unseen = nil
+	view := m.pending
+	m.pending = nil
 	return view
 }
 
@@ -210,7 +211,7 @@
 	return m.current
 }
 
-// awaitOutcome returns a channel that receives the outcome of a command once.
+// awaitOutcome returns a channel that receives the outcome of a command. The caller must call stopAwaiting afterwards.
 func (m *stateMachine) awaitOutcome(id uint64) chan error {
 	outcome := make(chan error, 1)
 	m.mu.Lock()
@@ -219,7 +220,7 @@
 	return outcome
 }
 
-// stopAwaiting ends the wait for the outcome of a command.
+// stopAwaiting removes the channel of a command that awaitOutcome returned.
 func (m *stateMachine) stopAwaiting(id uint64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -240,14 +241,15 @@
 		return err
 	}
 	if state.Leadership == nil || state.Spec == nil || state.Addresses == nil {
-		return errors.New("it lacks a part")
+		return errors.New("snapshot lacks the leadership, the addresses or the cluster spec")
 	}
 	m.state = state
 	return nil
 }
 
-// initialState returns the encoded state before the first entry, the same at all initial members. If an incarnation is
-// given, the first leader of each region follows it, and leases up to longest may be valid.
+// initialState returns the encoded state before the first entry, which is identical on all initial members. If above is
+// not 0, the first leader of each region gets a higher incarnation and assumes that leases of up to the longest duration
+// may be valid.
 func initialState(members []QuorumMember, above lease.Incarnation, longest time.Duration) ([]byte, error) {
 	state := replicatedState{Addresses: map[leadership.MemberID]string{}, Spec: &clusterspec.Spec{}}
 	var initial []leadership.Member
--- a/internal/control/statefile.go
+++ b/internal/control/statefile.go
@@ -11,13 +11,13 @@
 	"syscall"
 )
 
-// maxStateBytes bounds a state file.
+// maxStateBytes is the maximum size of a state file.
 const maxStateBytes = 1 << 20
 
-// ErrLocked reports that another running process has the lock.
-var ErrLocked = errors.New("another process has it locked")
+// ErrLocked reports that another running process has locked a file.
+var ErrLocked = errors.New("locked by another process")
 
-// lockFile locks a file, which it creates if there is none, until the file is closed or the process ends.
+// lockFile locks a file, and creates it if it does not exist. The lock ends when the file is closed or the process exits.
 func lockFile(path string) (*os.File, error) {
 	file, err := os.OpenFile(path, os.O_RDWR|os.O_CREATE, 0o600)
 	if err != nil {
@@ -33,7 +33,7 @@
 	return file, nil
 }
 
-// readState decodes a JSON file into a value, which stays as it is if there is no file.
+// readState decodes a JSON file into a value. If the file does not exist, the value is unchanged.
 func readState(path string, into any) error {
 	file, err := os.Open(path)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -56,7 +56,7 @@
 	return nil
 }
 
-// writeState writes a value as a JSON file atomically. It is on disk when writeState returns.
+// writeState writes a value atomically as a JSON file. The file is on disk when writeState returns without an error.
 func writeState(path string, value any) error {
 	text, err := json.Marshal(value)
 	if err != nil {
