--- a/internal/control/agent_state_test.go
+++ b/internal/control/agent_state_test.go
@@ -8,8 +8,9 @@
 	"wingmount/internal/testkit"
 )
 
-// An incarnation that an agent has seen is on disk before the assignments of its reply are applied.
-func TestAgentPersistsTheIncarnation(t *testing.T) {
+// A newer incarnation is on disk before Apply gets the assignments of the same reply. Otherwise an agent that fails in
+// between would accept an older incarnation after its restart.
+func TestAgentPersistsIncarnationBeforeApply(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "agent.json")
 	persisted := func() lease.Incarnation {
 		t.Helper()
@@ -29,6 +30,6 @@
 		Incarnation: 5, Session: lease.SessionID(5)<<40 | 1, Sequence: request.Sequence, Duration: time.Minute, Version: 1, Complete: true,
 	}}))
 	if atApply != 5 || persisted() != 5 {
-		t.Errorf("got incarnation %d when applied and %d after, want 5", atApply, persisted())
+		t.Errorf("got incarnation %d on disk during Apply and %d afterwards, want 5", atApply, persisted())
 	}
 }
--- a/internal/control/clock_test.go
+++ b/internal/control/clock_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-func TestClockNeverGoesBackOrSlow(t *testing.T) {
+func TestClockAdvancesAtLeastAsMuchAsMonotonicTime(t *testing.T) {
 	rng := rand.New(rand.NewPCG(35, 1))
 	var current clockValues
 	c := newClock(func() clockValues { return current })
@@ -20,32 +20,32 @@
 		}
 		now := c.now()
 		if now-before < elapsed {
-			t.Fatalf("it shows %v after %v", now-before, elapsed)
+			t.Fatalf("clock advanced by %v within %v", now-before, elapsed)
 		}
 		before = now
 	}
 }
 
-func TestClockCountsSuspensions(t *testing.T) {
+func TestClockIncludesSuspendedTime(t *testing.T) {
 	var current clockValues
 	c := newClock(func() clockValues { return current })
 	first := c.now()
 	current.monotonic, current.wall = time.Second, 11*time.Second
 	if now := c.now(); now-first != 11*time.Second {
-		t.Fatalf("after a suspension of 10s in 11s it shows %v", now-first)
+		t.Fatalf("after 11s that include a suspension of 10s: got %v", now-first)
 	}
 	current.wall -= time.Hour
 	if now := c.now(); now-first != 11*time.Second {
-		t.Fatalf("after a step back it shows %v", now-first)
+		t.Fatalf("after a backward step: got %v, want 11s", now-first)
 	}
 	current.monotonic += time.Second
 	current.wall += time.Minute
 	if now := c.now(); now-first != 71*time.Second {
-		t.Fatalf("after another suspension it shows %v", now-first)
+		t.Fatalf("after another suspension: got %v, want 71s", now-first)
 	}
 }
 
-func TestClockDoesNotGoFastByJitter(t *testing.T) {
+func TestClockIgnoresJitterWithinTolerance(t *testing.T) {
 	var current clockValues
 	c := newClock(func() clockValues { return current })
 	first := c.now()
@@ -55,6 +55,6 @@
 		c.now()
 	}
 	if passed := c.now() - first; passed != time.Second {
-		t.Fatalf("after 1s it shows %v", passed)
+		t.Fatalf("got %v, want 1s", passed)
 	}
 }
--- a/internal/control/config_test.go
+++ b/internal/control/config_test.go
@@ -27,7 +27,7 @@
 	return config
 }
 
-// testSpecWithConfigs returns testSpec with a config for each destination.
+// testSpecWithConfigs returns a spec like testSpec's with a config for each destination.
 func testSpecWithConfigs(nodes, destinations int) *clusterspec.Spec {
 	spec := testSpec(nodes, destinations)
 	for i := range spec.Destinations {
@@ -38,7 +38,7 @@
 	return spec
 }
 
-// startConfigNodes starts agents that ask for configs.
+// startConfigNodes starts agents that request configs.
 func startConfigNodes(t *testing.T, server *Server, names ...placement.NodeID) []*testNode {
 	t.Helper()
 	var nodes []*testNode
@@ -48,7 +48,8 @@
 	return nodes
 }
 
-// latestConfig returns the latest config of a destination that a node received, and whether the destination is assigned to it.
+// latestConfig returns the latest config that a node received of a destination, and whether the destination is assigned to
+// the node.
 func (n *testNode) latestConfig(destination placement.DestinationID) (clusterspec.DestinationConfig, bool) {
 	_, assigned := n.Assignment(destination)
 	n.mu.Lock()
@@ -56,7 +57,7 @@
 	return n.configs[destination], assigned
 }
 
-// haveConfigs reports whether each node has the config of each destination that is assigned to it.
+// haveConfigs reports whether each node has the current config of each destination that is assigned to it.
 func haveConfigs(nodes []*testNode, spec *clusterspec.Spec) bool {
 	for _, n := range nodes {
 		for i := range spec.Destinations {
@@ -70,7 +71,7 @@
 	return true
 }
 
-// cloneSpec returns a spec that can be changed without changing the given one.
+// cloneSpec returns a copy of a spec that shares no nodes, destinations or endpoints with it.
 func cloneSpec(s *clusterspec.Spec) *clusterspec.Spec {
 	c := &clusterspec.Spec{Nodes: slices.Clone(s.Nodes), Destinations: slices.Clone(s.Destinations)}
 	for i := range c.Destinations {
@@ -79,15 +80,15 @@
 	return c
 }
 
-// Nodes receive the configs of the destinations that they own, and no others; a changed config goes to its owners only,
-// without a change of quotas.
-func TestConfigsFollowOwners(t *testing.T) {
+// Nodes receive the configs of the destinations that they own, and no others. A changed config is sent to its owners only,
+// without changed assignments.
+func TestChangedConfigReachesOnlyOwners(t *testing.T) {
 	t.Parallel()
 	const destinations = 20
 	spec := testSpecWithConfigs(4, destinations)
 	server, _ := startServer(t, testServerConfig(t, spec))
 	nodes := startConfigNodes(t, server, "n1", "n2", "n3", "n4")
-	eventually(t, "all is granted and known", func() bool { return allGranted(nodes, destinations) && haveConfigs(nodes, spec) })
+	eventually(t, "all quota is granted and the nodes have the configs", func() bool { return allGranted(nodes, destinations) && haveConfigs(nodes, spec) })
 	for _, n := range nodes {
 		n.mu.Lock()
 		n.updates = nil
@@ -99,7 +100,7 @@
 	if err := server.SetSpec(next); err != nil {
 		t.Fatal(err)
 	}
-	eventually(t, "its owners have the changed config", func() bool { return haveConfigs(nodes, next) })
+	eventually(t, "the owners have the changed config", func() bool { return haveConfigs(nodes, next) })
 	for i, n := range nodes {
 		owned := false
 		if _, assigned := n.Assignment(4); assigned {
@@ -110,49 +111,49 @@
 		for _, update := range n.updates {
 			received += len(update.Configs)
 			if len(update.Assignments) > 0 {
-				t.Errorf("n%d: got the changed assignments %+v, want none", i+1, update.Assignments)
+				t.Errorf("n%d: got changed assignments %+v, want none", i+1, update.Assignments)
 			}
 		}
 		n.mu.Unlock()
 		if owned != (received == 1) || received > 1 {
-			t.Errorf("n%d received %d configs, and owns the changed one: %v", i+1, received, owned)
+			t.Errorf("n%d: got %d configs, want 1 for an owner of the changed destination and 0 otherwise; owner: %v", i+1, received, owned)
 		}
 	}
 }
 
-// A config that is lost on its way to a node is sent again within 7 s.
-func TestLostConfigIsSentAgain(t *testing.T) {
+// A reply with a changed config is lost on its way to a node. The server sends the config again within 7 s.
+func TestLostConfigIsResentWithinSevenSeconds(t *testing.T) {
 	t.Parallel()
 	spec := testSpecWithConfigs(1, 3)
 	server, _ := startServer(t, testServerConfig(t, spec))
-	loser := &losingTransport{RoundTripper: transport(t)}
-	node := startNode(t, AgentConfig{Node: "n1", Addresses: []string{server.Addr()}, ReceiveConfigs: true, Transport: loser})
+	dropping := &droppingTransport{RoundTripper: newTransport(t)}
+	node := startNode(t, AgentConfig{Node: "n1", Addresses: []string{server.Addr()}, ReceiveConfigs: true, Transport: dropping})
 	nodes := []*testNode{node}
-	eventually(t, "the node has its part", func() bool { return allGranted(nodes, 3) && haveConfigs(nodes, spec) })
+	eventually(t, "the node has all quota and configs", func() bool { return allGranted(nodes, 3) && haveConfigs(nodes, spec) })
 	next := cloneSpec(spec)
 	next.Destinations[1].Limit = 5
-	loser.lose.Store(true)
+	dropping.drop.Store(true)
 	changed := time.Now()
 	if err := server.SetSpec(next); err != nil {
 		t.Fatal(err)
 	}
 	eventually(t, "the node has the changed config", func() bool { return haveConfigs(nodes, next) })
-	if loser.lost.Load() == 0 {
-		t.Fatal("no reply was lost")
+	if dropping.dropped.Load() == 0 {
+		t.Fatal("no reply was dropped")
 	}
 	if took := time.Since(changed); took > 7*time.Second {
 		t.Errorf("got the config after %v, want 7s at most", took)
 	}
 }
 
-// losingTransport loses the next reply with configs.
-type losingTransport struct {
+// droppingTransport drops the next reply with configs after drop is set.
+type droppingTransport struct {
 	http.RoundTripper
-	lose atomic.Bool
-	lost atomic.Int32
+	drop    atomic.Bool
+	dropped atomic.Int32
 }
 
-func (l *losingTransport) RoundTrip(request *http.Request) (*http.Response, error) {
+func (l *droppingTransport) RoundTrip(request *http.Request) (*http.Response, error) {
 	response, err := l.RoundTripper.RoundTrip(request)
 	if err != nil {
 		return response, err
@@ -162,16 +163,16 @@
 		return nil, err
 	}
 	_ = response.Body.Close()
-	if bytes.Contains(text, []byte(`"records"`)) && l.lose.CompareAndSwap(true, false) {
-		l.lost.Add(1)
-		return nil, errors.New("the reply is lost")
+	if bytes.Contains(text, []byte(`"records"`)) && l.drop.CompareAndSwap(true, false) {
+		l.dropped.Add(1)
+		return nil, errors.New("reply dropped by the test")
 	}
 	response.Body = io.NopCloser(bytes.NewReader(text))
 	return response, nil
 }
 
-// A restarted node gets its assignments and their configs in one reply.
-func TestRestartedNodeGetsConfigsInOneReply(t *testing.T) {
+// A restarted node gets all its assignments and their configs in the first reply.
+func TestRestartedNodeReceivesAllConfigsInOneReply(t *testing.T) {
 	t.Parallel()
 	const destinations = 12
 	spec := testSpecWithConfigs(2, destinations)
@@ -179,35 +180,35 @@
 	config.RestartGrace = time.Minute
 	server, _ := startServer(t, config)
 	nodes := startConfigNodes(t, server, "n1", "n2")
-	eventually(t, "all is granted", func() bool { return allGranted(nodes, destinations) && haveConfigs(nodes, spec) })
+	eventually(t, "all quota is granted and the nodes have the configs", func() bool { return allGranted(nodes, destinations) && haveConfigs(nodes, spec) })
 	nodes[0].stop(t)
-	again := startConfigNodes(t, server, "n1")[0]
-	eventually(t, "it has an update", func() bool {
-		again.mu.Lock()
-		defer again.mu.Unlock()
-		return len(again.updates) > 0
+	restarted := startConfigNodes(t, server, "n1")[0]
+	eventually(t, "the restarted node has an update", func() bool {
+		restarted.mu.Lock()
+		defer restarted.mu.Unlock()
+		return len(restarted.updates) > 0
 	})
-	again.mu.Lock()
-	first := again.updates[0]
-	again.mu.Unlock()
+	restarted.mu.Lock()
+	first := restarted.updates[0]
+	restarted.mu.Unlock()
 	if !first.Complete || len(first.Assignments) != destinations || len(first.Configs) != destinations {
 		t.Errorf("got %d assignments and %d configs in the first reply, want %d of each", len(first.Assignments), len(first.Configs), destinations)
 	}
 }
 
-// A node without endpoints of its own gets an error from a server whose spec has none; a spec with endpoints is not
-// replaced by one without.
-func TestSpecWithoutConfigs(t *testing.T) {
+// A poll that requests configs is rejected if the server's spec contains no endpoints. A spec with endpoints can't be
+// replaced by a spec without them.
+func TestServerRejectsMissingConfigs(t *testing.T) {
 	t.Parallel()
 	server, _ := startServer(t, testServerConfig(t, testSpec(1, 1)))
 	node := startConfigNodes(t, server, "n1")[0]
 	_, err := node.client.renew(t.Context(), pollRequest{Request: node.nextLeaseRequest(), Configs: true}, 0)
 	var failed *ReplyError
 	if !errors.As(err, &failed) || failed.Code != codeNoConfigs {
-		t.Errorf("got %v, want an answer of code %s", err, codeNoConfigs)
+		t.Errorf("got %v, want an error with code %s", err, codeNoConfigs)
 	}
 	if node.LeaseValid() {
-		t.Error("it has a lease")
+		t.Error("the node has a lease")
 	}
 	other, _ := startServer(t, testServerConfig(t, testSpecWithConfigs(1, 1)))
 	if err := other.SetSpec(testSpec(1, 1)); !errors.Is(err, ErrConfigsWithdrawn) {
@@ -215,23 +216,24 @@
 	}
 }
 
-// nextLeaseRequest returns a request as the agent would send it now.
+// nextLeaseRequest returns the request that the agent would send now.
 func (n *testNode) nextLeaseRequest() lease.Request {
 	n.Agent.mu.Lock()
 	defer n.Agent.mu.Unlock()
 	return n.holder.Renew(n.clock.now())
 }
 
-// A config that is not valid changes nothing: the previous one stays, and the rest of the reply is applied.
-func TestInvalidConfigIsSkipped(t *testing.T) {
+// A node receives an invalid config. It keeps the destination's previous config and its lease, and applies the rest of the
+// reply.
+func TestInvalidConfigKeepsPreviousConfig(t *testing.T) {
 	t.Parallel()
 	spec := testSpecWithConfigs(1, 2)
 	server, _ := startServer(t, testServerConfig(t, spec))
-	spoiler := &spoilingTransport{RoundTripper: transport(t)}
-	node := startNode(t, AgentConfig{Node: "n1", Addresses: []string{server.Addr()}, ReceiveConfigs: true, Transport: spoiler})
+	corrupting := &corruptingTransport{RoundTripper: newTransport(t)}
+	node := startNode(t, AgentConfig{Node: "n1", Addresses: []string{server.Addr()}, ReceiveConfigs: true, Transport: corrupting})
 	nodes := []*testNode{node}
-	eventually(t, "the node has its part", func() bool { return allGranted(nodes, 2) && haveConfigs(nodes, spec) })
-	spoiler.spoil.Store(true)
+	eventually(t, "the node has all quota and configs", func() bool { return allGranted(nodes, 2) && haveConfigs(nodes, spec) })
+	corrupting.corrupt.Store(true)
 	next := cloneSpec(spec)
 	next.Destinations[0].Endpoints[0].Address = "127.0.0.1:7001"
 	next.Destinations[1].Limit = 3
@@ -240,22 +242,22 @@
 	}
 	eventually(t, "the node has the valid config", func() bool { r, _ := node.latestConfig(2); return r.Limit == 3 })
 	if r, _ := node.latestConfig(1); r.Endpoints[0].Address != spec.Destinations[0].Endpoints[0].Address {
-		t.Errorf("got an invalid config in force: %+v", r)
+		t.Errorf("got config %+v, want the previous config", r)
 	}
 	if !node.LeaseValid() {
-		t.Error("it lost its lease")
+		t.Error("the node lost its lease")
 	}
 }
 
-// spoilingTransport spoils an address in replies.
-type spoilingTransport struct {
+// corruptingTransport replaces an address in replies by an invalid one while corrupt is set.
+type corruptingTransport struct {
 	http.RoundTripper
-	spoil atomic.Bool
+	corrupt atomic.Bool
 }
 
-func (s *spoilingTransport) RoundTrip(request *http.Request) (*http.Response, error) {
+func (s *corruptingTransport) RoundTrip(request *http.Request) (*http.Response, error) {
 	response, err := s.RoundTripper.RoundTrip(request)
-	if err != nil || !s.spoil.Load() {
+	if err != nil || !s.corrupt.Load() {
 		return response, err
 	}
 	text, err := io.ReadAll(response.Body)
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -19,7 +19,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// The times of the tests: a lease is short, so that one that ends is not waited for long.
+// Durations for the tests. The lease is short, so that tests that wait for its expiry are quick.
 const (
 	testLease    = 3 * time.Second
 	testWindow   = 50 * time.Millisecond
@@ -27,7 +27,7 @@
 	testTimeout  = 15 * time.Second
 )
 
-// testSpec returns a spec with nodes n1, n2, ... in a zone each, and destinations with two owners.
+// testSpec returns a spec with nodes n1, n2, ... in zones z0 to z2, and destinations with two owners.
 func testSpec(nodes, destinations int) *clusterspec.Spec {
 	spec := &clusterspec.Spec{}
 	for i := 1; i <= nodes; i++ {
@@ -42,13 +42,14 @@
 	return spec
 }
 
-// running is a server or an agent that runs until stop.
+// running is a Run method that runs in a goroutine until stop or cancel.
 type running struct {
 	cancel context.CancelFunc
 	done   chan struct{}
 	err    error
 }
 
+// run calls a Run method in a goroutine, and stops it at the end of the test.
 func run(t *testing.T, serve func(context.Context) error) *running {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -88,14 +89,14 @@
 	return server, run(t, server.Run)
 }
 
-// testNode is an agent, and what it has received.
+// testNode is a running agent. It records the updates and changes of the lease that the agent reports.
 type testNode struct {
 	*Agent
 	*running
 	mu      sync.Mutex
 	updates []Update
 	leased  []bool
-	configs map[placement.DestinationID]clusterspec.DestinationConfig // the latest ones
+	configs map[placement.DestinationID]clusterspec.DestinationConfig // the latest config of each destination
 }
 
 func startNode(t *testing.T, config AgentConfig) *testNode {
@@ -105,14 +106,14 @@
 		n.mu.Lock()
 		defer n.mu.Unlock()
 		n.updates = append(n.updates, update)
-		for _, record := range update.Configs {
-			n.configs[record.Destination] = record
+		for _, received := range update.Configs {
+			n.configs[received.Destination] = received
 		}
 	}
-	config.LeaseChanged = func(inForce bool) {
+	config.LeaseChanged = func(valid bool) {
 		n.mu.Lock()
 		defer n.mu.Unlock()
-		n.leased = append(n.leased, inForce)
+		n.leased = append(n.leased, valid)
 	}
 	agent, err := NewAgent(config)
 	if err != nil {
@@ -123,8 +124,8 @@
 	return n
 }
 
-// transport has a transport of its own for a test, whose connections end with it.
-func transport(t *testing.T) *http.Transport {
+// newTransport returns a transport that closes its connections at the end of the test.
+func newTransport(t *testing.T) *http.Transport {
 	t.Helper()
 	transport := &http.Transport{}
 	t.Cleanup(transport.CloseIdleConnections)
@@ -140,14 +141,14 @@
 	return nodes
 }
 
-// eventually waits until something is so, within the time that a test of this package has.
-func eventually(t *testing.T, what string, is func() bool) {
+// eventually waits until a condition is true, and fails the test after testTimeout.
+func eventually(t *testing.T, what string, condition func() bool) {
 	t.Helper()
-	testkit.EventuallyWithin(t, testTimeout, what, is)
+	testkit.EventuallyWithin(t, testTimeout, what, condition)
 }
 
-// sum is what all nodes together may use of a destination.
-func sum(nodes []*testNode, destination placement.DestinationID) float64 {
+// totalQuota returns the sum of the nodes' quotas of a destination.
+func totalQuota(nodes []*testNode, destination placement.DestinationID) float64 {
 	total := 0.0
 	for _, n := range nodes {
 		total += n.Quota(destination)
@@ -155,18 +156,18 @@
 	return total
 }
 
-// allGranted reports whether all of each destination is granted.
+// allGranted reports whether the quota of each destination is completely granted.
 func allGranted(nodes []*testNode, destinations int) bool {
 	for i := 1; i <= destinations; i++ {
-		if sum(nodes, placement.DestinationID(i)) < 0.999 {
+		if totalQuota(nodes, placement.DestinationID(i)) < 0.999 {
 			return false
 		}
 	}
 	return true
 }
 
-// watchSums checks until the test ends that no sum of quotas exceeds 1.
-func watchSums(t *testing.T, nodes func() []*testNode, destinations int) {
+// watchTotalQuotas fails the test if the nodes' quotas of a destination ever add up to more than 1.
+func watchTotalQuotas(t *testing.T, nodes func() []*testNode, destinations int) {
 	t.Helper()
 	stop, done := make(chan struct{}), make(chan struct{})
 	go func() {
@@ -178,8 +179,8 @@
 			case <-time.After(2 * time.Millisecond):
 			}
 			for i := 1; i <= destinations; i++ {
-				if total := sum(nodes(), placement.DestinationID(i)); total > 1 {
-					t.Errorf("destination %d: got quotas of %v in force, want 1 at most", i, total)
+				if total := totalQuota(nodes(), placement.DestinationID(i)); total > 1 {
+					t.Errorf("destination %d: got a total quota of %v, want 1 at most", i, total)
 					return
 				}
 			}
@@ -188,16 +189,16 @@
 	t.Cleanup(func() { close(stop); <-done })
 }
 
-func fixed(nodes []*testNode) func() []*testNode { return func() []*testNode { return nodes } }
+func fixedNodes(nodes []*testNode) func() []*testNode { return func() []*testNode { return nodes } }
 
-func TestNodesShareAllDestinations(t *testing.T) {
+func TestEachDestinationHasTwoOwners(t *testing.T) {
 	t.Parallel()
 	const destinations = 40
 	config := testServerConfig(t, testSpec(4, destinations))
-	config.InitialWait = testTimeout // the first placement is that of all four, however late one comes
+	config.InitialWait = testTimeout // the first placement waits for all four nodes
 	server, _ := startServer(t, config)
 	nodes := startNodes(t, server, "n1", "n2", "n3", "n4")
-	watchSums(t, fixed(nodes), destinations)
+	watchTotalQuotas(t, fixedNodes(nodes), destinations)
 	eventually(t, "all destinations are granted", func() bool { return allGranted(nodes, destinations) })
 	for i := 1; i <= destinations; i++ {
 		owners := 0
@@ -212,36 +213,37 @@
 	}
 }
 
-func TestDeadNodeIsReplacedOnceItsLeaseHasExpired(t *testing.T) {
+// A node loses its connection to the server. Others may get its quotas only after its lease has expired.
+func TestDisconnectedNodeIsReplacedAfterLeaseExpiry(t *testing.T) {
 	t.Parallel()
 	const destinations = 20
 	server, _ := startServer(t, testServerConfig(t, testSpec(3, destinations)))
-	network := newNetwork(t)
-	nodes := append([]*testNode{startNodeOn(t, network, "n1", server.Addr())}, startNodes(t, server, "n2", "n3")...)
-	watchSums(t, fixed(nodes), destinations)
-	eventually(t, "all is granted", func() bool { return allGranted(nodes, destinations) })
-	// A node whose control connection is gone keeps its quotas until its lease ends, and no longer.
-	network.cut.Store(true)
-	eventually(t, "the others have all", func() bool { return allGranted(nodes[1:], destinations) })
+	network := newFaultyTransport(t)
+	nodes := append([]*testNode{startNodeWithTransport(t, network, "n1", server.Addr())}, startNodes(t, server, "n2", "n3")...)
+	watchTotalQuotas(t, fixedNodes(nodes), destinations)
+	eventually(t, "all quota is granted", func() bool { return allGranted(nodes, destinations) })
+	// A disconnected node keeps its quotas until its lease expires.
+	network.disconnected.Store(true)
+	eventually(t, "the others have all quota", func() bool { return allGranted(nodes[1:], destinations) })
 	if nodes[0].LeaseValid() {
-		t.Fatal("its quotas were granted to others while its lease is valid")
+		t.Fatal("quotas of the disconnected node were granted to others while its lease was valid")
 	}
 }
 
-func TestNodeThatClosesItsSessionHandsOver(t *testing.T) {
+func TestClosedSessionIsReplacedBeforeLeaseExpiry(t *testing.T) {
 	t.Parallel()
 	const destinations = 20
 	config := testServerConfig(t, testSpec(3, destinations))
 	config.Lease = time.Minute
 	server, _ := startServer(t, config)
 	nodes := startNodes(t, server, "n1", "n2", "n3")
-	eventually(t, "all is granted", func() bool { return allGranted(nodes, destinations) })
+	eventually(t, "all quota is granted", func() bool { return allGranted(nodes, destinations) })
 	nodes[0].stop(t)
-	eventually(t, "the others have all", func() bool { return allGranted(nodes[1:], destinations) })
+	eventually(t, "the others have all quota", func() bool { return allGranted(nodes[1:], destinations) })
 	nodes[0].mu.Lock()
 	defer nodes[0].mu.Unlock()
 	if last := nodes[0].leased[len(nodes[0].leased)-1]; last {
-		t.Fatal("the end of the lease was not reported")
+		t.Fatal("LeaseChanged did not report the end of the lease")
 	}
 }
 
@@ -250,37 +252,37 @@
 	const destinations = 20
 	server, _ := startServer(t, testServerConfig(t, testSpec(3, destinations)))
 	nodes := startNodes(t, server, "n1", "n2", "n3")
-	watchSums(t, fixed(nodes), destinations)
-	eventually(t, "all is granted", func() bool { return allGranted(nodes, destinations) })
+	watchTotalQuotas(t, fixedNodes(nodes), destinations)
+	eventually(t, "all quota is granted", func() bool { return allGranted(nodes, destinations) })
 	if err := server.Drain("n1", true); err != nil {
 		t.Fatal(err)
 	}
 	draining := nodes[0]
 	owned := draining.Len()
-	eventually(t, "it accepts for none", func() bool { return accepting(draining, destinations) == 0 })
+	eventually(t, "the draining node accepts messages for no destination", func() bool { return acceptingCount(draining, destinations) == 0 })
 	if draining.Len() != owned {
 		t.Fatalf("got %d destinations with unfinished messages, want %d", draining.Len(), owned)
 	}
 	for i := 1; i <= destinations; i++ {
 		id := placement.DestinationID(i)
 		if _, ok := draining.Assignment(id); ok && draining.Quota(id) == 0 {
-			t.Errorf("destination %d: it has unfinished messages and no quota", i)
+			t.Errorf("destination %d: the draining node has unfinished messages but no quota", i)
 		}
 		draining.Release(id)
 	}
-	eventually(t, "it has none", func() bool { return draining.Len() == 0 })
-	eventually(t, "the others have all", func() bool { return allGranted(nodes[1:], destinations) })
+	eventually(t, "the draining node has no assignments", func() bool { return draining.Len() == 0 })
+	eventually(t, "the others have all quota", func() bool { return allGranted(nodes[1:], destinations) })
 	if err := server.Drain("n1", false); err != nil {
 		t.Fatal(err)
 	}
-	eventually(t, "it comes back", func() bool { return accepting(draining, destinations) > 0 })
+	eventually(t, "the node is an owner again", func() bool { return acceptingCount(draining, destinations) > 0 })
 	if err := server.Drain("nobody", true); err == nil {
 		t.Fatal("got no error for an unknown node")
 	}
 }
 
-// accepting is for how many destinations a node accepts.
-func accepting(n *testNode, destinations int) int {
+// acceptingCount returns the number of destinations for which a node accepts messages.
+func acceptingCount(n *testNode, destinations int) int {
 	count := 0
 	for i := 1; i <= destinations; i++ {
 		if assignment, ok := n.Assignment(placement.DestinationID(i)); ok && assignment.Accepting {
@@ -290,7 +292,9 @@
 	return count
 }
 
-func TestServerRestartKeepsLeasesAndGrantsNothingEarly(t *testing.T) {
+// The server restarts while nodes have leases, and one node fails meanwhile. Its quota must not be granted before its
+// lease has expired; the others keep their assignments.
+func TestServerRestartKeepsLeasesAndWaitsForUnreclaimedQuota(t *testing.T) {
 	t.Parallel()
 	const destinations = 20
 	config := testServerConfig(t, testSpec(3, destinations))
@@ -298,8 +302,8 @@
 	server, first := startServer(t, config)
 	config.Listen = server.Addr()
 	nodes := startNodes(t, server, "n1", "n2", "n3")
-	watchSums(t, fixed(nodes), destinations)
-	eventually(t, "all is granted", func() bool { return allGranted(nodes, destinations) })
+	watchTotalQuotas(t, fixedNodes(nodes), destinations)
+	eventually(t, "all quota is granted", func() bool { return allGranted(nodes, destinations) })
 	before := make(map[placement.DestinationID]lease.Assignment)
 	for i := 1; i <= destinations; i++ {
 		before[placement.DestinationID(i)], _ = nodes[0].Assignment(placement.DestinationID(i))
@@ -307,24 +311,24 @@
 	first.stop(t)
 	time.Sleep(300 * time.Millisecond)
 	if !nodes[0].LeaseValid() || !allGranted(nodes, destinations) {
-		t.Fatal("got no valid leases without a server")
+		t.Fatal("leases or quotas were lost while no server was running")
 	}
-	nodes[2].cancel() // dies unnoticed: its quota is not granted while it may be in use
+	nodes[2].cancel() // fails during the restart: its quota must not be granted while it may still be used
 	<-nodes[2].done
 	second, _ := startServer(t, config)
 	if incarnation := second.State().Incarnation; incarnation != 2 {
 		t.Fatalf("got incarnation %d, want 2", incarnation)
 	}
-	eventually(t, "the two others are back", func() bool { return second.sessions() == 2 })
+	eventually(t, "the two other nodes have a session", func() bool { return second.sessions() == 2 })
 	for id, assignment := range before {
 		if now, _ := nodes[0].Assignment(id); now != assignment {
 			t.Errorf("destination %d: got %+v after the restart, want %+v", id, now, assignment)
 		}
 	}
 	ready := second.origin.Add(second.grantor.GraceEnd())
-	eventually(t, "the two others have all", func() bool { return allGranted(nodes[:2], destinations) })
+	eventually(t, "the two other nodes have all quota", func() bool { return allGranted(nodes[:2], destinations) })
 	if time.Now().Before(ready) {
-		t.Fatal("the quota of a node that did not reclaim it was granted early")
+		t.Fatal("unreclaimed quota was granted before the end of the grace period")
 	}
 }
 
@@ -334,16 +338,18 @@
 	return s.grantor.SessionCount()
 }
 
-func TestStateFolderIsLocked(t *testing.T) {
+func TestSecondServerOnStateFolderIsRejected(t *testing.T) {
 	t.Parallel()
 	config := testServerConfig(t, testSpec(1, 1))
 	startServer(t, config)
 	if _, err := NewServer(config); err == nil {
-		t.Fatal("got a second server on one state folder")
+		t.Fatal("got no error for a second server on the same state folder")
 	}
 }
 
-func TestRestoredBackupIsSuperseded(t *testing.T) {
+// A server that starts without its state reuses an old incarnation. Nodes report the newer incarnation, and the server
+// must not open sessions until an operator sets AboveIncarnation.
+func TestServerWithLostStateIsSuperseded(t *testing.T) {
 	t.Parallel()
 	const destinations = 5
 	config := testServerConfig(t, testSpec(2, destinations))
@@ -352,18 +358,18 @@
 	server, first := startServer(t, config)
 	config.Listen = server.Addr()
 	nodes := startNodes(t, server, "n1", "n2")
-	eventually(t, "all is granted", func() bool { return allGranted(nodes, destinations) })
+	eventually(t, "all quota is granted", func() bool { return allGranted(nodes, destinations) })
 	first.stop(t)
-	config.StateDir, config.AboveIncarnation = t.TempDir(), 0 // as a backup from before, or a lost disk
+	config.StateDir, config.AboveIncarnation = t.TempDir(), 0 // simulates a lost disk
 	second, restored := startServer(t, config)
-	eventually(t, "it knows the newer one", func() bool { return second.State().SupersededBy == 9 })
+	eventually(t, "the server is superseded", func() bool { return second.State().SupersededBy == 9 })
 	if second.sessions() != 0 {
-		t.Fatal("got sessions at a superseded server")
+		t.Fatal("got sessions on a superseded server, want none")
 	}
 	restored.stop(t)
 	config.AboveIncarnation = 9
 	startServer(t, config)
-	eventually(t, "above the lost incarnation it serves again", func() bool {
+	eventually(t, "the server grants leases under an incarnation above the lost one", func() bool {
 		return nodes[0].highestIncarnation() == 10 && allGranted(nodes, destinations)
 	})
 }
@@ -374,65 +380,67 @@
 	return n.holder.HighestIncarnation()
 }
 
-func TestKilledNodeIsBackAtOnceWithItsStateFile(t *testing.T) {
+// A killed node does not close its session. With its state file, the next process replaces the session before the lease,
+// which is long here, has expired.
+func TestKilledNodeResumesBeforeLeaseExpiryWithStateFile(t *testing.T) {
 	t.Parallel()
 	const destinations = 10
 	config := testServerConfig(t, testSpec(2, destinations))
 	config.Lease = time.Minute
 	server, _ := startServer(t, config)
 	other := startNodes(t, server, "n2")[0]
-	network := newNetwork(t)
+	network := newFaultyTransport(t)
 	agentConfig := AgentConfig{
 		Node: "n1", Addresses: []string{server.Addr()}, Transport: network,
 		StateFile: filepath.Join(t.TempDir(), "agent.json"),
 	}
 	killed := startNode(t, agentConfig)
-	eventually(t, "all is granted", func() bool { return allGranted([]*testNode{other, killed}, destinations) })
+	eventually(t, "all quota is granted", func() bool { return allGranted([]*testNode{other, killed}, destinations) })
 	if _, err := NewAgent(agentConfig); err == nil {
-		t.Fatal("got a second agent on one state file")
+		t.Fatal("got no error for a second agent on the same state file")
 	}
-	network.cut.Store(true) // its lease is not given back
+	network.disconnected.Store(true) // prevents the agent from closing its session
 	killed.stop(t)
-	network.cut.Store(false)
-	again := startNode(t, agentConfig)
-	eventually(t, "all is granted again", func() bool { return allGranted([]*testNode{other, again}, destinations) })
-	again.mu.Lock()
-	defer again.mu.Unlock()
-	if len(again.updates) == 0 || !again.updates[0].Complete {
-		t.Fatalf("got the first update %+v, want a complete one", again.updates)
+	network.disconnected.Store(false)
+	restarted := startNode(t, agentConfig)
+	eventually(t, "all quota is granted after the restart", func() bool { return allGranted([]*testNode{other, restarted}, destinations) })
+	restarted.mu.Lock()
+	defer restarted.mu.Unlock()
+	if len(restarted.updates) == 0 || !restarted.updates[0].Complete {
+		t.Fatalf("got the updates %+v, want a complete one first", restarted.updates)
 	}
 }
 
-func TestUnfinishedMessagesOfLostDestinationsGetAQuota(t *testing.T) {
+func TestUnfinishedMessagesGetQuotaWithoutOwnership(t *testing.T) {
 	t.Parallel()
 	const destinations = 9
 	server, _ := startServer(t, testServerConfig(t, testSpec(4, destinations)))
 	nodes := startNodes(t, server, "n1", "n2", "n3")
-	eventually(t, "all is granted", func() bool { return allGranted(nodes, destinations) })
+	eventually(t, "all quota is granted", func() bool { return allGranted(nodes, destinations) })
 	if err := server.Drain("n4", true); err != nil {
 		t.Fatal(err)
 	}
 	late := startNodes(t, server, "n4")[0]
 	all := append(nodes[:3:3], late)
-	watchSums(t, fixed(all), destinations)
+	watchTotalQuotas(t, fixedNodes(all), destinations)
 	late.ReportUnfinished(3, 5)
-	eventually(t, "it has quotas to finish with", func() bool { return late.Quota(3) > 0 && late.Quota(5) > 0 })
+	eventually(t, "the node has quotas to finish its messages", func() bool { return late.Quota(3) > 0 && late.Quota(5) > 0 })
 	if assignment, _ := late.Assignment(3); assignment.Accepting {
-		t.Fatal("got an accepting assignment, want one to finish with")
+		t.Fatal("got an accepting assignment, want one that only finishes messages")
 	}
 	late.Release(3)
-	eventually(t, "one is released", func() bool { return late.Len() == 1 && sum(nodes, 3) > 0.999 })
-	if sum(all, 5) < 0.999 {
-		t.Fatal("not all of the other is granted")
+	eventually(t, "destination 3 is released", func() bool { return late.Len() == 1 && totalQuota(nodes, 3) > 0.999 })
+	if totalQuota(all, 5) < 0.999 {
+		t.Fatal("the quota of destination 5 is not completely granted")
 	}
 }
 
-func TestLocate(t *testing.T) {
+func TestLocateReturnsOwnersWithAddresses(t *testing.T) {
 	t.Parallel()
 	const destinations = 10
 	server, _ := startServer(t, testServerConfig(t, testSpec(3, destinations)))
 	nodes := startNodes(t, server, "n1", "n2", "n3")
-	eventually(t, "all is granted", func() bool { return allGranted(nodes, destinations) })
+	eventually(t, "all quota is granted", func() bool { return allGranted(nodes, destinations) })
 	for i := 1; i <= destinations; i++ {
 		owners, err := nodes[0].Locate(t.Context(), placement.DestinationID(i))
 		if err != nil || len(owners) != 2 {
@@ -445,17 +453,17 @@
 		}
 	}
 	if owners, err := nodes[0].Locate(t.Context(), 4711); !errors.Is(err, ErrUnknownDestination) || len(owners) != 0 {
-		t.Fatalf("got %v, %v for an unknown destination", owners, err)
+		t.Fatalf("unknown destination: got %v, %v, want ErrUnknownDestination", owners, err)
 	}
 }
 
-func TestSpecChangeSendsDeltas(t *testing.T) {
+func TestSpecChangeSendsIncrementalUpdates(t *testing.T) {
 	t.Parallel()
 	const destinations = 30
 	config := testServerConfig(t, testSpec(3, destinations))
 	server, _ := startServer(t, config)
 	nodes := startNodes(t, server, "n1", "n2", "n3")
-	eventually(t, "all is granted", func() bool { return allGranted(nodes, destinations) })
+	eventually(t, "all quota is granted", func() bool { return allGranted(nodes, destinations) })
 	before := make([]int, len(nodes))
 	for i, n := range nodes {
 		n.mu.Lock()
@@ -465,12 +473,12 @@
 	if err := server.SetSpec(testSpec(3, destinations+1)); err != nil {
 		t.Fatal(err)
 	}
-	eventually(t, "the new destination is granted", func() bool { return sum(nodes, destinations+1) > 0.999 })
+	eventually(t, "the new destination is granted", func() bool { return totalQuota(nodes, destinations+1) > 0.999 })
 	for i, n := range nodes {
 		n.mu.Lock()
 		for _, update := range n.updates[before[i]:] {
 			if update.Complete {
-				t.Errorf("%s got a complete update", n.config.Node)
+				t.Errorf("%s: got a complete update, want changes only", n.config.Node)
 			}
 		}
 		n.mu.Unlock()
@@ -481,6 +489,6 @@
 		t.Fatal("got no error for an invalid spec")
 	}
 	if state := server.State(); state.Destinations != destinations+1 {
-		t.Fatalf("got %+v, want the previous spec in force", state)
+		t.Fatalf("got state %+v, want the previous spec", state)
 	}
 }
--- a/internal/control/fuzz_test.go
+++ b/internal/control/fuzz_test.go
@@ -77,21 +77,21 @@
 		holder := agent.holder
 		holder.Renew(0)
 		_, err := holder.Receive(time.Millisecond, reply.Reply)
-		for _, record := range agent.validConfigs(reply.Configs) {
-			if record.Validate() != nil {
-				t.Fatalf("an invalid config is used: %+v", record)
+		for _, received := range agent.validConfigs(reply.Configs) {
+			if received.Validate() != nil {
+				t.Fatalf("got invalid config %+v", received)
 			}
 		}
 		if err != nil && (holder.Valid(time.Millisecond) || holder.Len() > 0) {
-			t.Fatalf("got assignments after the error %v", err)
+			t.Fatalf("got assignments or a lease after error %v", err)
 		}
 		for assignment := range holder.Assignments {
-			if share := holder.Quota(time.Millisecond, assignment.Destination); !(share >= 0 && share <= 1) {
-				t.Fatalf("got a quota of %v", share)
+			if quota := holder.Quota(time.Millisecond, assignment.Destination); !(quota >= 0 && quota <= 1) {
+				t.Fatalf("got a quota of %v", quota)
 			}
 		}
 		if holder.Expiry() > lease.MaxDuration {
-			t.Fatalf("got a lease until %v", holder.Expiry())
+			t.Fatalf("got lease expiry %v, want lease.MaxDuration at most", holder.Expiry())
 		}
 	})
 }
@@ -130,7 +130,7 @@
 region = "north"
 `
 
-func TestLoadSpecAndReload(t *testing.T) {
+func TestReloadAppliesOnlyValidSpec(t *testing.T) {
 	t.Parallel()
 	path := filepath.Join(t.TempDir(), "world.toml")
 	if err := os.WriteFile(path, []byte(specText), 0o600); err != nil {
@@ -147,11 +147,11 @@
 		t.Fatal("got no error for an invalid file")
 	}
 	if state := server.State(); state.Destinations != 2 {
-		t.Fatalf("got %+v, want the previous spec in force", state)
+		t.Fatalf("got state %+v, want the previous spec", state)
 	}
 	if err := os.WriteFile(path, []byte(specText+"[[destination]]\nnumber=9\nrate=1\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	reload <- os.Interrupt
-	eventually(t, "the new spec is in force", func() bool { return server.State().Destinations == 3 })
+	eventually(t, "the new spec is applied", func() bool { return server.State().Destinations == 3 })
 }
--- a/internal/control/golden_test.go
+++ b/internal/control/golden_test.go
@@ -21,13 +21,14 @@
 	"wingmount/internal/testkit"
 )
 
-// A change of a golden file is a change of what is stored, or of what agents and control machines of other versions read.
+// The golden files contain stored data and messages between agents and control machines, possibly of different versions. A
+// change to a golden file is therefore a change to a stored or wire format.
 
-// filler sets each exported field of a value to another value that is not zero.
+// filler sets the exported fields of a value to distinct non-zero values, as far as their types allow.
 type filler struct{ count uint64 }
 
-// filled returns a value of a type whose exported fields are all set, the same each time.
-func filled[T any]() T {
+// nonZeroValue returns a value whose exported fields are all set. It returns the same value each time.
+func nonZeroValue[T any]() T {
 	var value T
 	(&filler{}).fill(reflect.ValueOf(&value).Elem())
 	return value
@@ -66,41 +67,41 @@
 	case reflect.Uint8, reflect.Uint32, reflect.Uint64:
 		v.SetUint(f.count)
 	default:
-		panic("a form with a kind that the filler lacks: " + v.Kind().String())
+		panic("filler: unsupported kind " + v.Kind().String())
 	}
 }
 
-// goldenForm is a form that is stored or sent as JSON, and its file.
-type goldenForm struct {
+// goldenCase is a type that is stored or sent as JSON, with its golden file.
+type goldenCase struct {
 	name  string
-	value any        // with all fields set
-	into  func() any // a new value to read into
+	value any        // a value with all fields set
+	into  func() any // returns a new value to decode into
 }
 
-func formOf[T any](name string) goldenForm {
-	return goldenForm{name: name, value: filled[T](), into: func() any { return new(T) }}
+func newGoldenCase[T any](name string) goldenCase {
+	return goldenCase{name: name, value: nonZeroValue[T](), into: func() any { return new(T) }}
 }
 
-func goldenForms() []goldenForm {
-	return []goldenForm{
-		formOf[serverState]("control_state"),
-		formOf[agentState]("agent_state"),
-		formOf[replicatedState]("agreed_state"),
-		formOf[command]("command"),
-		formOf[clusterspec.Delta]("cluster_delta"),
-		formOf[pollRequest]("poll_request"),
-		formOf[pollReply]("poll_reply"),
-		formOf[failure]("failure"),
-		formOf[Owners]("owners"),
-		formOf[State]("state"),
-		formOf[Explanation]("explanation"),
-		formOf[QuorumState]("quorum_state"),
-		formOf[leadership.VoteRequest]("vote_request"),
-		formOf[voteReply]("vote_reply"),
+func goldenCases() []goldenCase {
+	return []goldenCase{
+		newGoldenCase[serverState]("control_state"),
+		newGoldenCase[agentState]("agent_state"),
+		newGoldenCase[replicatedState]("agreed_state"),
+		newGoldenCase[command]("command"),
+		newGoldenCase[clusterspec.Delta]("cluster_delta"),
+		newGoldenCase[pollRequest]("poll_request"),
+		newGoldenCase[pollReply]("poll_reply"),
+		newGoldenCase[failure]("failure"),
+		newGoldenCase[Owners]("owners"),
+		newGoldenCase[State]("state"),
+		newGoldenCase[Explanation]("explanation"),
+		newGoldenCase[QuorumState]("quorum_state"),
+		newGoldenCase[leadership.VoteRequest]("vote_request"),
+		newGoldenCase[voteReply]("vote_reply"),
 	}
 }
 
-// goldenName returns the name of a golden file for testkit.
+// goldenName returns the name under which testkit finds a golden file.
 func goldenName(file string) string { return "golden/" + file }
 
 func compareGolden(t *testing.T, file string, got []byte) {
@@ -113,25 +114,25 @@
 	return testkit.ReadGolden(t, goldenName(file))
 }
 
-func TestGoldenJSONIsWrittenTheSame(t *testing.T) {
-	for _, form := range goldenForms() {
-		t.Run(form.name, func(t *testing.T) {
-			text, err := json.Marshal(form.value)
+func TestGoldenJSONEncodingIsUnchanged(t *testing.T) {
+	for _, c := range goldenCases() {
+		t.Run(c.name, func(t *testing.T) {
+			text, err := json.Marshal(c.value)
 			testkit.Must(t, err)
-			compareGolden(t, form.name+".json", append(text, '\n'))
+			compareGolden(t, c.name+".json", append(text, '\n'))
 		})
 	}
 }
 
-func TestGoldenJSONIsRead(t *testing.T) {
-	for _, form := range goldenForms() {
-		t.Run(form.name, func(t *testing.T) {
-			into := form.into()
-			decoder := json.NewDecoder(bytes.NewReader(readGolden(t, form.name+".json")))
+func TestGoldenJSONIsDecoded(t *testing.T) {
+	for _, c := range goldenCases() {
+		t.Run(c.name, func(t *testing.T) {
+			into := c.into()
+			decoder := json.NewDecoder(bytes.NewReader(readGolden(t, c.name+".json")))
 			decoder.DisallowUnknownFields()
 			testkit.Must(t, decoder.Decode(into))
-			if got := reflect.ValueOf(into).Elem().Interface(); !reflect.DeepEqual(got, form.value) {
-				t.Errorf("got %+v, want %+v", got, form.value)
+			if got := reflect.ValueOf(into).Elem().Interface(); !reflect.DeepEqual(got, c.value) {
+				t.Errorf("got %+v, want %+v", got, c.value)
 			}
 		})
 	}
@@ -141,14 +142,14 @@
 	dir := t.TempDir()
 	folder, err := openStateFolder(dir)
 	testkit.Must(t, err)
-	testkit.Must(t, folder.persist(filled[serverState]()))
+	testkit.Must(t, folder.persist(nonZeroValue[serverState]()))
 	testkit.Must(t, folder.close())
 	text, err := os.ReadFile(filepath.Join(dir, "control.json"))
 	testkit.Must(t, err)
 	compareGolden(t, "control_state.json", text)
 	var state serverState
 	testkit.Must(t, readState(filepath.Join(dir, "control.json"), &state))
-	if want := filled[serverState](); !reflect.DeepEqual(state, want) {
+	if want := nonZeroValue[serverState](); !reflect.DeepEqual(state, want) {
 		t.Errorf("got %+v, want %+v", state, want)
 	}
 	if _, err := os.Stat(filepath.Join(dir, "control.lock")); err != nil {
@@ -156,7 +157,7 @@
 	}
 }
 
-// An agent that starts on the state file of an earlier process resumes from it, and writes its own process to it.
+// An agent reads the previous process and incarnation from its state file, and writes its own process to it.
 func TestGoldenAgentStateIsResumed(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "agent.json")
 	testkit.Must(t, os.WriteFile(path, []byte(`{"incarnation":7,"process":12345}`+"\n"), 0o600))
@@ -168,7 +169,7 @@
 	}
 	request := agent.holder.Renew(0)
 	if request.Replaces != 12345 || request.Incarnation != 7 || request.Process != agent.state.Process {
-		t.Errorf("got %+v, want one that replaces 12345 and has seen 7", request)
+		t.Errorf("got request %+v, want process %d, replaced process 12345 and incarnation 7", request, agent.state.Process)
 	}
 	text, err := os.ReadFile(path)
 	testkit.Must(t, err)
@@ -177,10 +178,10 @@
 	}
 }
 
-// goldenCommands are commands of each kind, which all take effect after each other.
+// goldenCommands returns commands of each kind. Applied in order, all of them take effect.
 func goldenCommands() []command {
-	stamp := leadership.Revision{Leader: 1, Incarnation: 8}
-	renewedStamp := leadership.Revision{Leader: 1, Incarnation: 8, Renewals: 1}
+	revision := leadership.Revision{Leader: 1, Incarnation: 8}
+	renewedRevision := leadership.Revision{Leader: 1, Incarnation: 8, Renewals: 1}
 	node := clusterspec.Node{Name: "n1", Region: "north", Zone: "z1", Weight: 2, Address: "127.0.0.1:9001"}
 	destination := clusterspec.Destination{
 		Number: 5, Name: "five", Rate: 10, Owners: 2, Region: "north", Limit: 20, RoutesApart: true, Bundle: 3,
@@ -190,7 +191,7 @@
 		{ID: 1, Join: &leadership.Join{Member: 1, Process: 101}},
 		{ID: 2, Join: &leadership.Join{Member: 2, Process: 102}},
 		{ID: 3, Candidacy: &leadership.Candidacy{Member: 1, Process: 101, Nonce: 1, Previous: leadership.Revision{Incarnation: 7}, LeaderLease: time.Minute, NodeLease: 30 * time.Second, MembersVersion: 1}},
-		{ID: 4, Renewal: &leadership.Renewal{Member: 1, Process: 101, Nonce: 2, Previous: stamp, MembersVersion: 1, EarlierLeasesExpired: true, NodeLease: 20 * time.Second}},
+		{ID: 4, Renewal: &leadership.Renewal{Member: 1, Process: 101, Nonce: 2, Previous: revision, MembersVersion: 1, EarlierLeasesExpired: true, NodeLease: 20 * time.Second}},
 		{ID: 5, AddMember: &addMember{Member: 3, Region: "south", Address: "127.0.0.1:8003"}},
 		{ID: 6, AddMember: &addMember{Member: 4, Region: "south", Address: "127.0.0.1:8004"}},
 		{ID: 7, RemoveMember: &removeMember{Member: 4}},
@@ -202,7 +203,7 @@
 		{ID: 13, Join: &leadership.Join{Member: 3, Process: 103}},
 		{ID: 14, Candidacy: &leadership.Candidacy{Member: 3, Process: 103, Nonce: 1, LeaderLease: time.Minute, NodeLease: 30 * time.Second, MembersVersion: 3}},
 		{ID: 15, Resignation: &leadership.Resignation{Member: 3, Process: 103, Previous: leadership.Revision{Leader: 3, Incarnation: 1}}},
-		{ID: 16, Renewal: &leadership.Renewal{Member: 1, Process: 101, Nonce: 3, Previous: renewedStamp, MembersVersion: 3}},
+		{ID: 16, Renewal: &leadership.Renewal{Member: 1, Process: 101, Nonce: 3, Previous: renewedRevision, MembersVersion: 3}},
 	}
 }
 
@@ -215,12 +216,13 @@
 	return text
 }
 
-func TestGoldenInitialState(t *testing.T) {
+func TestGoldenInitialStateIsUnchanged(t *testing.T) {
 	compareGolden(t, "initial_state.json", goldenInitialState(t))
 }
 
-// The commands of the golden file are what is proposed, byte by byte; applied on the initial state they give its snapshot.
-func TestGoldenCommandsAndSnapshot(t *testing.T) {
+// Encoded commands equal the golden file byte by byte. Applied to the golden initial state, the commands of the file
+// produce the golden snapshot.
+func TestGoldenCommandsProduceSnapshot(t *testing.T) {
 	var log bytes.Buffer
 	for _, c := range goldenCommands() {
 		text, err := json.Marshal(c)
@@ -242,14 +244,14 @@
 		effective = append(effective, machine.takeView().effective...)
 	}
 	if want := []leadership.Nonce{1, 2, 3}; !reflect.DeepEqual(effective, want) {
-		t.Errorf("got the effects %v, want %v", effective, want)
+		t.Errorf("got effective nonces %v, want %v", effective, want)
 	}
 	text, err := machine.Snapshot()()
 	testkit.Must(t, err)
 	compareGolden(t, "snapshot.json", text)
 }
 
-func TestGoldenSnapshotIsRead(t *testing.T) {
+func TestGoldenSnapshotIsRestored(t *testing.T) {
 	machine := newStateMachine(101, func() {})
 	testkit.Must(t, machine.Restore(readGolden(t, "snapshot.json")))
 	want := replicatedState{
@@ -290,11 +292,11 @@
 		t.Errorf("got %+v, want %+v", machine.state, want)
 	}
 	if got := machine.state.Staged.Bytes; got != len(strings.Split(string(readGolden(t, "commands.jsonl")), "\n")[11]) {
-		t.Errorf("got %d staged bytes, want those of the command", got)
+		t.Errorf("got %d staged bytes, want the length of command 12", got)
 	}
 }
 
-func TestGoldenClusterFileIsRead(t *testing.T) {
+func TestGoldenClusterFileIsLoaded(t *testing.T) {
 	got, err := clusterspec.Load(filepath.Join("testdata", goldenName("cluster.toml")))
 	testkit.Must(t, err)
 	want := &clusterspec.Spec{
@@ -318,8 +320,8 @@
 	}
 }
 
-// Statuses, codes and texts of failures, as agents and operators see them.
-func TestGoldenFailures(t *testing.T) {
+// Agents and operators receive these statuses, codes and texts of errors.
+func TestGoldenErrorResponsesAreUnchanged(t *testing.T) {
 	var lines bytes.Buffer
 	for _, err := range []error{
 		&NodeError{Node: "n9"},
@@ -334,8 +336,8 @@
 	compareGolden(t, "failures.txt", lines.Bytes())
 }
 
-// The paths and methods of a control machine, and the answers that need no state.
-func TestGoldenPaths(t *testing.T) {
+// The paths and methods of a server, and responses that don't depend on sessions or placements.
+func TestGoldenServerResponsesAreUnchanged(t *testing.T) {
 	server, _ := startServer(t, testServerConfig(t, testSpec(1, 1)))
 	handler := server.handler(t.Context())
 	var lines bytes.Buffer
@@ -362,7 +364,8 @@
 	compareGolden(t, "paths.txt", lines.Bytes())
 }
 
-func TestGoldenMemberPaths(t *testing.T) {
+// The paths and methods of a member, and responses that don't depend on sessions or placements.
+func TestGoldenMemberResponsesAreUnchanged(t *testing.T) {
 	q := newTestQuorum(t, testSpec(1, 1), "north")
 	m := q.leader("north")
 	handler := m.handler(t.Context())
--- a/internal/control/member_changes.go
+++ b/internal/control/member_changes.go
@@ -78,7 +78,7 @@
 //
 // A command may be committed twice. The second commit does not change applied state. If the command is a part of a change
 // to the spec, the second commit may restart the staging or discard the staged parts. The later parts then fail with
-// ErrConflict, and the whole change has no effect.
+// ErrConflict, and the entire change has no effect.
 func (m *Member) commit(ctx context.Context, c command, propose func(text []byte) error) error {
 	c.ID = rand.Uint64()
 	text, err := json.Marshal(c)
--- a/internal/control/member_http.go
+++ b/internal/control/member_http.go
@@ -86,7 +86,7 @@
 	writeOutcome(w, err)
 }
 
-// serveSpec changes the cluster spec, by a delta as JSON or, with ?whole=true, a complete spec as TOML.
+// serveSpec changes the cluster spec, by a delta as JSON or a complete spec as TOML, depending on the query.
 func (m *Member) serveSpec(w http.ResponseWriter, r *http.Request) {
 	controller := http.NewResponseController(w)
 	_ = controller.SetReadDeadline(time.Now().Add(specBodyTimeout))
--- a/internal/control/state_machine.go
+++ b/internal/control/state_machine.go
@@ -153,7 +153,7 @@
 	return nil
 }
 
-// stageSpecChange stages a part of a change to the cluster spec, and applies the whole change at its last part. It returns
+// stageSpecChange stages a part of a change to the cluster spec, and applies the change at its last part. It returns
 // ErrConflict if the change is not based on the current version, or if a part is out of order or exceeds the maximum
 // size. Part 0 restarts the staging, also when it is committed a second time.
 func (s *replicatedState) stageSpecChange(c specChange, size int) error {
