--- a/internal/control/agent.go
+++ b/internal/control/agent.go
@@ -107,17 +107,17 @@
 	Process     lease.ProcessID   `json:"process"`
 }
 
-// ErrAgent reports an AgentConfig that lacks a required field.
-var ErrAgent = errors.New("agent config requires a node name and an address of a control process")
+// ErrInvalidAgentConfig reports an AgentConfig without Addresses, or whose Node is empty or longer than
+// lease.MaxNameLength.
+var ErrInvalidAgentConfig = errors.New("agent config requires a valid node name and an address of a control process")
 
-// NewAgent returns an agent without a lease. The caller must call Run. It returns ErrAgent if config lacks a required
-// field, ErrLocked if another agent has locked the state file, and an error if that file can't be read, decoded or
-// written. Without a state file nothing is locked, and the node's next process cannot take over this one's assignments
-// before its lease expires.
+// NewAgent returns an agent without a lease. The caller must call Run. It returns ErrInvalidAgentConfig, ErrLocked if
+// another agent has locked the state file, and an error if that file can't be read, decoded or written. Without a state
+// file nothing is locked, and the node's next process cannot take over this one's assignments before its lease expires.
 func NewAgent(config AgentConfig) (*Agent, error) {
 	config = config.withDefaults()
 	if config.Node == "" || len(config.Node) > lease.MaxNameLength || len(config.Addresses) == 0 {
-		return nil, ErrAgent
+		return nil, ErrInvalidAgentConfig
 	}
 	a := &Agent{
 		config: config,
--- a/internal/control/clock_test.go
+++ b/internal/control/clock_test.go
@@ -6,6 +6,7 @@
 	"time"
 )
 
+// Steps of the wall clock in either direction must never make the clock advance less than the monotonic clock.
 func TestClockAdvancesAtLeastAsMuchAsMonotonicTime(t *testing.T) {
 	rng := rand.New(rand.NewPCG(35, 1))
 	var current clockValues
@@ -45,6 +46,7 @@
 	}
 }
 
+// Jitter between readings of the two clocks must not accumulate as elapsed time, which would shorten leases.
 func TestClockIgnoresJitterWithinTolerance(t *testing.T) {
 	var current clockValues
 	c := newClock(func() clockValues { return current })
--- a/internal/control/config_test.go
+++ b/internal/control/config_test.go
@@ -48,8 +48,8 @@
 	return nodes
 }
 
-// latestConfig returns the latest config that a node received of a destination, and whether the destination is assigned to
-// the node.
+// latestConfig returns the latest config that a node received of a destination, and whether the destination is assigned
+// to the node.
 func (n *testNode) latestConfig(destination placement.DestinationID) (clusterspec.DestinationConfig, bool) {
 	_, assigned := n.Assignment(destination)
 	n.mu.Lock()
@@ -80,8 +80,8 @@
 	return c
 }
 
-// Nodes receive the configs of the destinations that they own, and no others. A changed config is sent to its owners only,
-// without changed assignments.
+// Nodes receive the configs of the destinations that they own, and no others. A changed config is sent to its owners
+// only, without changed assignments.
 func TestChangedConfigReachesOnlyOwners(t *testing.T) {
 	t.Parallel()
 	const destinations = 20
@@ -153,8 +153,8 @@
 	dropped atomic.Int32
 }
 
-func (l *droppingTransport) RoundTrip(request *http.Request) (*http.Response, error) {
-	response, err := l.RoundTripper.RoundTrip(request)
+func (d *droppingTransport) RoundTrip(request *http.Request) (*http.Response, error) {
+	response, err := d.RoundTripper.RoundTrip(request)
 	if err != nil {
 		return response, err
 	}
@@ -163,8 +163,8 @@
 		return nil, err
 	}
 	_ = response.Body.Close()
-	if bytes.Contains(text, []byte(`"records"`)) && l.drop.CompareAndSwap(true, false) {
-		l.dropped.Add(1)
+	if bytes.Contains(text, []byte(`"records"`)) && d.drop.CompareAndSwap(true, false) {
+		d.dropped.Add(1)
 		return nil, errors.New("reply dropped by the test")
 	}
 	response.Body = io.NopCloser(bytes.NewReader(text))
@@ -223,8 +223,8 @@
 	return n.holder.Renew(n.clock.now())
 }
 
-// A node receives an invalid config. It keeps the destination's previous config and its lease, and applies the rest of the
-// reply.
+// A node receives an invalid config. It keeps the destination's previous config and its lease, and applies the rest of
+// the reply.
 func TestInvalidConfigKeepsPreviousConfig(t *testing.T) {
 	t.Parallel()
 	spec := testSpecWithConfigs(1, 2)
@@ -255,9 +255,9 @@
 	corrupt atomic.Bool
 }
 
-func (s *corruptingTransport) RoundTrip(request *http.Request) (*http.Response, error) {
-	response, err := s.RoundTripper.RoundTrip(request)
-	if err != nil || !s.corrupt.Load() {
+func (c *corruptingTransport) RoundTrip(request *http.Request) (*http.Response, error) {
+	response, err := c.RoundTripper.RoundTrip(request)
+	if err != nil || !c.corrupt.Load() {
 		return response, err
 	}
 	text, err := io.ReadAll(response.Body)
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -218,18 +218,19 @@
 	t.Parallel()
 	const destinations = 20
 	server, _ := startServer(t, testServerConfig(t, testSpec(3, destinations)))
-	network := newFaultyTransport(t)
-	nodes := append([]*testNode{startNodeWithTransport(t, network, "n1", server.Addr())}, startNodes(t, server, "n2", "n3")...)
+	transport := newFaultyTransport(t)
+	nodes := append([]*testNode{startNodeWithTransport(t, transport, "n1", server.Addr())}, startNodes(t, server, "n2", "n3")...)
 	watchTotalQuotas(t, fixedNodes(nodes), destinations)
 	eventually(t, "all quota is granted", func() bool { return allGranted(nodes, destinations) })
 	// A disconnected node keeps its quotas until its lease expires.
-	network.disconnected.Store(true)
+	transport.disconnected.Store(true)
 	eventually(t, "the others have all quota", func() bool { return allGranted(nodes[1:], destinations) })
 	if nodes[0].LeaseValid() {
 		t.Fatal("quotas of the disconnected node were granted to others while its lease was valid")
 	}
 }
 
+// A node that stops closes its session, so that others need not wait for the expiry of its lease, which is long here.
 func TestClosedSessionIsReplacedBeforeLeaseExpiry(t *testing.T) {
 	t.Parallel()
 	const destinations = 20
@@ -247,6 +248,7 @@
 	}
 }
 
+// A draining node stops accepting messages. It must keep assignments and quota until it has finished the accepted ones.
 func TestDrainingNodeFinishesAcceptedMessages(t *testing.T) {
 	t.Parallel()
 	const destinations = 20
@@ -389,9 +391,9 @@
 	config.Lease = time.Minute
 	server, _ := startServer(t, config)
 	other := startNodes(t, server, "n2")[0]
-	network := newFaultyTransport(t)
+	transport := newFaultyTransport(t)
 	agentConfig := AgentConfig{
-		Node: "n1", Addresses: []string{server.Addr()}, Transport: network,
+		Node: "n1", Addresses: []string{server.Addr()}, Transport: transport,
 		StateFile: filepath.Join(t.TempDir(), "agent.json"),
 	}
 	killed := startNode(t, agentConfig)
@@ -399,9 +401,9 @@
 	if _, err := NewAgent(agentConfig); err == nil {
 		t.Fatal("got no error for a second agent on the same state file")
 	}
-	network.disconnected.Store(true) // prevents the agent from closing its session
+	transport.disconnected.Store(true) // prevents the agent from closing its session
 	killed.stop(t)
-	network.disconnected.Store(false)
+	transport.disconnected.Store(false)
 	restarted := startNode(t, agentConfig)
 	eventually(t, "all quota is granted after the restart", func() bool { return allGranted([]*testNode{other, restarted}, destinations) })
 	restarted.mu.Lock()
@@ -411,6 +413,8 @@
 	}
 }
 
+// A node that owns no destination, since it is draining, has unfinished messages from an earlier process. It must get
+// quotas to finish them.
 func TestUnfinishedMessagesGetQuotaWithoutOwnership(t *testing.T) {
 	t.Parallel()
 	const destinations = 9
@@ -457,6 +461,7 @@
 	}
 }
 
+// A change to the spec must not make the server send all assignments again. An invalid spec must not be applied.
 func TestSpecChangeSendsIncrementalUpdates(t *testing.T) {
 	t.Parallel()
 	const destinations = 30
--- a/internal/control/fault_test.go
+++ b/internal/control/fault_test.go
@@ -63,18 +63,18 @@
 	return startNode(t, AgentConfig{Node: name, Addresses: addresses, Transport: transport})
 }
 
-// A reply with a changed assignment is lost on its way to the node. The server must send the change again, after the poll
-// has timed out.
+// A reply with a changed assignment is lost on its way to the node. The server must send the change again, after the
+// poll has timed out.
 func TestLostUpdateIsResentWithinSevenSeconds(t *testing.T) {
 	t.Parallel()
 	const destinations = 10
 	config := testServerConfig(t, testSpec(2, destinations))
 	config.Lease = lease.DefaultDuration
 	server, _ := startServer(t, config)
-	network := newFaultyTransport(t)
-	nodes := []*testNode{startNodeWithTransport(t, network, "n1", server.Addr()), startNodes(t, server, "n2")[0]}
+	transport := newFaultyTransport(t)
+	nodes := []*testNode{startNodeWithTransport(t, transport, "n1", server.Addr()), startNodes(t, server, "n2")[0]}
 	eventually(t, "all quota is granted", func() bool { return allGranted(nodes, destinations) })
-	network.toDrop.Store(1)
+	transport.toDrop.Store(1)
 	if err := server.SetSpec(testSpec(2, destinations+1)); err != nil {
 		t.Fatal(err)
 	}
@@ -83,7 +83,7 @@
 		_, ok := nodes[0].Assignment(destinations + 1)
 		return ok
 	})
-	if network.toDrop.Load() > 0 {
+	if transport.toDrop.Load() > 0 {
 		t.Fatal("no update was dropped")
 	}
 	if took := time.Since(changed); took > 7*time.Second {
@@ -99,10 +99,10 @@
 	config.Lease = time.Minute
 	config.Spec = testSpec(2, destinations)
 	server, _ := startServer(t, config)
-	network := newFaultyTransport(t)
+	transport := newFaultyTransport(t)
 	log := newTestLog()
 	node := startNode(t, AgentConfig{
-		Node: "n1", Addresses: []string{server.Addr()}, Transport: network, Log: log.logger(),
+		Node: "n1", Addresses: []string{server.Addr()}, Transport: transport, Log: log.logger(),
 		PollWait: 50 * time.Millisecond,
 	})
 	all := []*testNode{node, startNodes(t, server, "n2")[0]}
@@ -124,14 +124,14 @@
 		},
 	} {
 		log.reset()
-		network.alter.Store(&alter)
+		transport.alter.Store(&alter)
 		eventually(t, name+" is logged", func() bool { return log.contains("lease not renewed") })
 		if node.Quota(1) != 0.5 || node.Len() != destinations {
 			t.Fatalf("%s: got changed assignments, want the previous assignments", name)
 		}
-		network.alter.Store(nil)
+		transport.alter.Store(nil)
 	}
-	network.alter.Store(nil)
+	transport.alter.Store(nil)
 	if err := server.SetSpec(testSpec(2, destinations+1)); err != nil {
 		t.Fatal(err)
 	}
@@ -169,11 +169,11 @@
 	config.Lease = 10 * time.Second
 	server, _ := startServer(t, config)
 	clock := newTestClock()
-	network := newFaultyTransport(t)
-	node := startNode(t, AgentConfig{Node: "n1", Addresses: []string{server.Addr()}, Transport: network, clock: clock.now})
+	transport := newFaultyTransport(t)
+	node := startNode(t, AgentConfig{Node: "n1", Addresses: []string{server.Addr()}, Transport: transport, clock: clock.now})
 	nodes := []*testNode{node}
 	eventually(t, "all quota is granted", func() bool { return allGranted(nodes, destinations) })
-	network.disconnected.Store(true)
+	transport.disconnected.Store(true)
 	remaining := node.LeaseRemaining()
 	clock.step.Store(-int64(time.Hour))
 	if now := node.LeaseRemaining(); now > remaining {
@@ -183,9 +183,9 @@
 	if node.LeaseValid() {
 		t.Fatal("after a forward clock step: got a valid lease")
 	}
-	network.disconnected.Store(false)
+	transport.disconnected.Store(false)
 	eventually(t, "the lease is renewed", func() bool { return allGranted(nodes, destinations) })
-	network.disconnected.Store(true)
+	transport.disconnected.Store(true)
 	clock.step.Store(int64(time.Hour + 11*time.Second)) // suspension: the monotonic clock did not advance
 	if node.LeaseValid() {
 		t.Fatal("after a suspension: got a valid lease")
@@ -197,25 +197,25 @@
 	t.Parallel()
 	const destinations = 10
 	server, _ := startServer(t, testServerConfig(t, testSpec(3, destinations)))
-	network := newFaultyTransport(t)
-	paused := startNodeWithTransport(t, network, "n1", server.Addr())
+	transport := newFaultyTransport(t)
+	paused := startNodeWithTransport(t, transport, "n1", server.Addr())
 	others := startNodes(t, server, "n2", "n3")
 	all := append(others[:2:2], paused)
 	watchTotalQuotas(t, fixedNodes(all), destinations)
 	eventually(t, "all quota is granted", func() bool { return allGranted(all, destinations) })
-	network.disconnected.Store(true) // a paused node sends nothing either
+	transport.disconnected.Store(true) // a paused node sends nothing either
 	eventually(t, "the others have all quota", func() bool { return allGranted(others, destinations) })
 	for i := 1; i <= destinations; i++ {
 		if quota := paused.Quota(placement.DestinationID(i)); quota != 0 {
 			t.Fatalf("destination %d: got a quota of %v after the pause, want 0", i, quota)
 		}
 	}
-	network.disconnected.Store(false)
+	transport.disconnected.Store(false)
 	eventually(t, "the paused node has assignments again", func() bool { return acceptingCount(paused, destinations) > 0 && allGranted(all, destinations) })
 }
 
-// Two servers with separate state run at once, for instance after a failover without fencing. Nodes report the newer
-// incarnation to the older server, which must stop issuing leases.
+// Two servers with separate state run at once. Nodes report the newer incarnation to the older server, which must stop
+// issuing leases.
 func TestOlderOfTwoServersIsSuperseded(t *testing.T) {
 	t.Parallel()
 	const destinations = 10
@@ -250,13 +250,13 @@
 	t.Parallel()
 	const destinations = 10
 	server, _ := startServer(t, testServerConfig(t, testSpec(4, destinations)))
-	network := newFaultyTransport(t)
-	failing := []*testNode{startNodeWithTransport(t, network, "n1", server.Addr()), startNodeWithTransport(t, network, "n2", server.Addr())}
+	transport := newFaultyTransport(t)
+	failing := []*testNode{startNodeWithTransport(t, transport, "n1", server.Addr()), startNodeWithTransport(t, transport, "n2", server.Addr())}
 	eventually(t, "all quota is granted", func() bool { return allGranted(failing, destinations) })
 	others := startNodes(t, server, "n3", "n4")
 	all := append(others[:2:2], failing...)
 	watchTotalQuotas(t, fixedNodes(all), destinations)
-	network.disconnected.Store(true)
+	transport.disconnected.Store(true)
 	eventually(t, "the other nodes have all quota", func() bool { return allGranted(others, destinations) })
 }
 
--- a/internal/control/fuzz_test.go
+++ b/internal/control/fuzz_test.go
@@ -12,6 +12,7 @@
 	"wingmount/internal/clusterspec"
 )
 
+// Requests of faulty nodes must neither crash the grantor nor open more sessions than MaxSessions.
 func FuzzRequest(f *testing.F) {
 	for _, request := range []lease.Request{
 		{Node: "n1", Process: 7, Sequence: 1},
@@ -54,6 +55,8 @@
 	})
 }
 
+// Replies of a faulty control machine must not crash the agent. It must reject invalid configs, quotas outside 0 to 1
+// and excessive leases, and have no assignments after an error.
 func FuzzReply(f *testing.F) {
 	reply := pollReply{
 		Reply: lease.Reply{
@@ -96,6 +99,7 @@
 	})
 }
 
+// Malformed responses to lookups of owners must not crash the client.
 func FuzzOwners(f *testing.F) {
 	f.Add([]byte(`{"destination":1,"owners":[{"node":"n1","address":"127.0.0.1:9001"}]}`))
 	f.Fuzz(func(_ *testing.T, text []byte) {
@@ -130,6 +134,8 @@
 region = "north"
 `
 
+// An operator reloads an invalid spec file. The server must keep its spec, and apply a valid file that is reloaded
+// later.
 func TestReloadAppliesOnlyValidSpec(t *testing.T) {
 	t.Parallel()
 	path := filepath.Join(t.TempDir(), "world.toml")
--- a/internal/control/golden_test.go
+++ b/internal/control/golden_test.go
@@ -21,8 +21,8 @@
 	"wingmount/internal/testkit"
 )
 
-// The golden files contain stored data and messages between agents and control machines, possibly of different versions. A
-// change to a golden file is therefore a change to a stored or wire format.
+// The golden files contain stored data and messages between agents and control machines, possibly of different
+// versions. A change to a golden file is therefore a change to a stored or wire format.
 
 // filler sets the exported fields of a value to distinct non-zero values, as far as their types allow.
 type filler struct{ count uint64 }
--- a/internal/control/margin_test.go
+++ b/internal/control/margin_test.go
@@ -42,8 +42,8 @@
 			clock := newClock(func() clockValues { return current })
 			current = clockValues{monotonic: time.Second, wall: time.Second + c.step}
 			checkDuration(t, "after a second", clock.now(), c.want)
-			// A backward step within the tolerance does not change the offset. The following forward change is compared with
-			// the original offset, and is within the tolerance too.
+			// A backward step within the tolerance does not change the offset. The following forward change is compared
+			// with the original offset, and is within the tolerance too.
 			current = clockValues{monotonic: 2 * time.Second, wall: 2*time.Second + time.Millisecond/2}
 			if c.step == -time.Millisecond {
 				checkDuration(t, "after a forward change within the tolerance", clock.now(), 2*time.Second)
@@ -239,8 +239,8 @@
 	return config
 }
 
-// A server must not grant leases while leases of an earlier incarnation may be valid. Its grace period is the longest such
-// lease by the slowest permitted clock, plus slack and the window over which destinations count calls.
+// A server must not grant leases while leases of an earlier incarnation may be valid. Its grace period is the longest
+// such lease by the slowest permitted clock, plus slack and the window over which destinations count calls.
 func TestServerGracePeriodCoversEarlierLeases(t *testing.T) {
 	for _, c := range []struct {
 		name    string
@@ -317,6 +317,8 @@
 	checkDuration(t, "when they have expired", persistedLongestLease(t, s), 9*time.Second)
 }
 
+// A node closes its session and restarts. It must remain eligible for RestartGrace, so that its destinations do not
+// move.
 func TestDepartedNodeStaysEligibleForRestartGrace(t *testing.T) {
 	s, now := newTestRegionServer(t, testMarginConfig(t), 0, true)
 	poll := pollRequest{Request: lease.Request{Node: "n1", Process: 5, Sequence: 1}}
@@ -364,6 +366,7 @@
 	testkit.Must(t, err)
 }
 
+// A poll that waits too long would let the node's lease expire.
 func TestPollWaitIsLimitedByLease(t *testing.T) {
 	s, _ := newTestRegionServer(t, testMarginConfig(t), 0, true)
 	for text, want := range map[string]time.Duration{"": 0, "0": 0, "2999": 2999 * time.Millisecond, "3000": 3 * time.Second, "3001": 3 * time.Second, "2147483647": 3 * time.Second} {
@@ -404,8 +407,8 @@
 			testkit.Must(t, folder.persist(c.before))
 			next, before, err := folder.beginIncarnation(c.above, c.duration)
 			if c.exhausted {
-				if !errors.Is(err, ErrIncarnations) {
-					t.Errorf("got %v, want ErrIncarnations", err)
+				if !errors.Is(err, ErrIncarnationsExhausted) {
+					t.Errorf("got %v, want ErrIncarnationsExhausted", err)
 				}
 				return
 			}
@@ -422,8 +425,8 @@
 	}
 }
 
-// An operator may leave NoEarlierLeases set when a server restarts. The server must still wait for leases of its previous
-// incarnation.
+// An operator may leave NoEarlierLeases set when a server restarts. The server must still wait for leases of its
+// previous incarnation.
 func TestRestartedServerIgnoresNoEarlierLeases(t *testing.T) {
 	config := testMarginConfig(t)
 	folder, err := openStateFolder(config.StateDir)
@@ -448,8 +451,8 @@
 	checkDuration(t, "end of grace without NoEarlierLeases", unasserted.grantor.GraceEnd(), 12100*time.Millisecond)
 }
 
-// newIdleMember returns a member that does not run, and its clock, which the test may set. The other member of its quorum
-// does not exist.
+// newIdleMember returns a member that does not run, and its clock, which the test may set. The other member of its
+// quorum does not exist.
 func newIdleMember(t *testing.T) (*Member, *clockValues) {
 	t.Helper()
 	current := &clockValues{}
@@ -470,8 +473,8 @@
 	return m, current
 }
 
-// A member's own leader lease uses the clock that includes suspended time. The wait for the end of another member's lease
-// uses the clock that does not. Either error would let two members lead at once.
+// A member's own leader lease uses the clock that includes suspended time. The wait for the end of another member's
+// lease uses the clock that does not. Either error would let two members lead at once.
 func TestMemberClockReadingUsesBothClocks(t *testing.T) {
 	m, current := newIdleMember(t)
 	before := m.clockReading()
@@ -487,8 +490,8 @@
 	}
 }
 
-// electMember elects the member as leader of its region, with a candidacy that it proposes at the current time of its clock.
-// It returns the resulting term.
+// electMember elects the member as leader of its region, with a candidacy that it proposes while its clock is at 0. It
+// returns the resulting term.
 func electMember(t *testing.T, m *Member, earlier leadership.Term) leadership.Term {
 	t.Helper()
 	state := leadership.NewState([]leadership.Member{{ID: 1, Region: "north"}, {ID: 2, Region: "north"}})
@@ -551,8 +554,8 @@
 	}
 }
 
-// A leader's renewal reports that earlier leases have expired only after they have. Otherwise a later leader would not wait
-// for them.
+// A leader's renewal reports that earlier leases have expired only after they have. Otherwise a later leader would not
+// wait for them.
 func TestLeaderReportsExpiryOfEarlierLeases(t *testing.T) {
 	m, current := newIdleMember(t)
 	term := electMember(t, m, leadership.Term{Revision: leadership.Revision{Incarnation: 1}, LongestNodeLease: 18 * time.Second})
@@ -623,8 +626,8 @@
 	}
 }
 
-// An operator sets AboveIncarnation after the state was lost. The initial state then contains it as the latest incarnation
-// of each region, with the longest lease that may still be valid.
+// An operator sets AboveIncarnation after the state was lost. The initial state then contains it as the latest
+// incarnation of each region, with the longest lease that may still be valid.
 func TestInitialLogContainsAboveIncarnation(t *testing.T) {
 	config := MemberConfig{ServerConfig: ServerConfig{NoEarlierLeases: true, Lease: 9 * time.Second}, InitialMembers: []QuorumMember{{ID: 2, Region: "north"}, {ID: 1, Region: "south"}}}
 	for _, above := range []lease.Incarnation{0, 6} {
--- a/internal/control/member.go
+++ b/internal/control/member.go
@@ -115,21 +115,21 @@
 
 // Errors of a member.
 var (
-	// errNotLeader reports that this member does not lead its region now. Its text, which clients receive, uses the older
-	// term for that.
+	// errNotLeader reports that this member does not lead its region now. Its text, which clients receive, uses the
+	// older term for that.
 	errNotLeader = errors.New("this control machine does not hold its region now")
 	// ErrNoQuorum reports that a change was not committed in time. It may be committed later.
 	ErrNoQuorum = errors.New("the change was not agreed in time: it may be, later")
-	// ErrMember reports a MemberConfig that lacks a required field.
-	ErrMember = errors.New("member config requires an id above 0 and a region")
+	// ErrInvalidMemberConfig reports a MemberConfig that lacks a required field.
+	ErrInvalidMemberConfig = errors.New("member config requires an id above 0 and a region")
 )
 
-// NewMember opens the log and listens. The caller must call Run. It returns ErrMember if config lacks a required field,
-// ErrLocked if another process uses the state folder, and consensus.ErrDamaged if the log is damaged.
+// NewMember opens the log and listens. The caller must call Run. It returns ErrInvalidMemberConfig if config lacks a
+// required field, ErrLocked if another process uses the state folder, and consensus.ErrDamaged if the log is damaged.
 func NewMember(config MemberConfig) (*Member, error) {
 	config = config.withDefaults()
 	if config.ID == 0 || config.Region == "" {
-		return nil, ErrMember
+		return nil, ErrInvalidMemberConfig
 	}
 	if config.Lease > lease.MaxDuration {
 		return nil, fmt.Errorf("lease duration %v exceeds the maximum of %v", config.Lease, lease.MaxDuration)
--- a/internal/control/member_changes.go
+++ b/internal/control/member_changes.go
@@ -29,7 +29,7 @@
 	m.mu.Lock()
 	now := m.clockReading()
 	proposal, due := m.elector.Propose(now)
-	request, voters, ask := m.elector.RequestVotes(now)
+	request, voters, votesNeeded := m.elector.RequestVotes(now)
 	m.mu.Unlock()
 	if due {
 		c := command{ID: rand.Uint64(), Join: proposal.Join, Candidacy: proposal.Candidacy, Renewal: proposal.Renewal}
@@ -42,7 +42,7 @@
 			_ = m.log.ProposeVoter(uint64(m.config.ID), text) // retried at the next check
 		}
 	}
-	if !ask {
+	if !votesNeeded {
 		return
 	}
 	for _, id := range voters {
@@ -76,9 +76,9 @@
 // or ErrNoEffect. It returns ErrNoQuorum when the context is done, and consensus.ErrStopped or consensus.ErrTooLong if
 // the command can't be proposed. It retries after consensus.ErrBusy (the queue is full).
 //
-// A command may be committed twice. The second commit does not change applied state. If the command is a part of a change
-// to the spec, the second commit may restart the staging or discard the staged parts. The later parts then fail with
-// ErrConflict, and the entire change has no effect.
+// A command may be committed twice. The second commit does not change applied state. If the command is a part of a
+// change to the spec, the second commit may restart the staging or discard the staged parts. The later parts then fail
+// with ErrConflict, and the entire change has no effect.
 func (m *Member) commit(ctx context.Context, c command, propose func(text []byte) error) error {
 	c.ID = rand.Uint64()
 	text, err := json.Marshal(c)
@@ -125,9 +125,9 @@
 	}
 }
 
-// Drain sets whether a node is draining: a draining node owns no destination. The change is committed when Drain returns
-// without an error. It returns a *NodeError for an unknown node, and the errors of commit except ErrConflict, after which
-// it retries.
+// Drain sets whether a node is draining: a draining node owns no destination. The change is committed when Drain
+// returns without an error. It returns a *NodeError for an unknown node, and the errors of commit except ErrConflict,
+// after which it retries.
 func (m *Member) Drain(ctx context.Context, node placement.NodeID, draining bool) error {
 	ctx, cancel := context.WithTimeout(ctx, commitTimeout)
 	defer cancel()
@@ -154,8 +154,8 @@
 	return m.SetSpec(ctx, spec)
 }
 
-// SetSpec proposes the difference between the replicated spec and the given one. The change is atomic, and committed when
-// SetSpec returns without an error. See changeSpec for the errors.
+// SetSpec proposes the difference between the replicated spec and the given one. The change is atomic, and committed
+// when SetSpec returns without an error. See changeSpec for the errors.
 func (m *Member) SetSpec(ctx context.Context, spec *clusterspec.Spec) error {
 	return m.changeSpec(ctx, func(current *clusterspec.Spec) clusterspec.Delta { return clusterspec.Diff(current, spec) })
 }
@@ -167,8 +167,8 @@
 }
 
 // changeSpec computes a delta from the replicated spec and proposes it in parts, one after the other. It returns
-// errSpecBusy if another change of the spec through this member is in progress, an error that wraps lease.ErrMalformed if
-// the resulting spec would be invalid, ErrConfigsWithdrawn, and the errors of commit.
+// errSpecBusy if another change of the spec through this member is in progress, an error that wraps lease.ErrMalformed
+// if the resulting spec would be invalid, ErrConfigsWithdrawn, and the errors of commit.
 func (m *Member) changeSpec(ctx context.Context, deltaFrom func(current *clusterspec.Spec) clusterspec.Delta) error {
 	select {
 	case m.specSlot <- struct{}{}:
--- a/internal/control/member_http.go
+++ b/internal/control/member_http.go
@@ -49,7 +49,7 @@
 			serve(l.server, w, r)
 			return
 		}
-		status, code := statusOf(errNotLeader)
+		status, code := errorStatus(errNotLeader)
 		writeJSON(w, status, failure{Code: code, Error: errNotLeader.Error(), Leader: m.leaderAddress()})
 	}
 }
--- a/internal/control/member_role.go
+++ b/internal/control/member_role.go
@@ -13,8 +13,8 @@
 //	follower -> leader    the replicated state names this process as leader, and its leader lease is valid
 //	leader -> follower    the replicated state names another process or a later incarnation, or the member stops
 //
-// A leader whose leader lease has expired remains a leader until the replicated state names another one. Its server grants
-// no leases (see Member.mayGrant) unless the leader lease is renewed.
+// A leader whose leader lease has expired remains a leader until the replicated state names another one. Its server
+// grants no leases (see Member.mayGrant) unless the leader lease is renewed.
 type role string
 
 const (
--- a/internal/control/member_role_test.go
+++ b/internal/control/member_role_test.go
@@ -7,7 +7,8 @@
 	"wingmount/decide/leadership"
 )
 
-// loggedTransitions returns the fields old, new, leader and incarnation of the role changes in a log, and clears the log.
+// loggedTransitions returns the fields old, new, leader and incarnation of the role changes in a log, and clears the
+// log.
 func loggedTransitions(t *testing.T, log *testLog) []string {
 	t.Helper()
 	log.mu.Lock()
@@ -39,6 +40,8 @@
 	m.elector.Apply(m.clockReading(), state, 0)
 }
 
+// Operators rely on the log for changes of leadership. Each transition is logged once, including a new term of the same
+// process, which stops and restarts the server.
 func TestRoleTransitionsAreLoggedOnce(t *testing.T) {
 	m, _ := newIdleMember(t)
 	log := newTestLog()
@@ -70,8 +73,8 @@
 	checkTransitions(t, log, "old=leader new=follower leader=2 incarnation=3")
 }
 
-// An elected member whose leader lease has expired does not start leading. If the lease expires while it leads, it remains
-// leader but grants no leases.
+// An elected member whose leader lease has expired does not start leading. If the lease expires while it leads, it
+// remains leader but grants no leases.
 func TestExpiredLeaderLeasePreventsGrants(t *testing.T) {
 	m, current := newIdleMember(t)
 	electMember(t, m, leadership.Term{})
--- a/internal/control/member_test.go
+++ b/internal/control/member_test.go
@@ -32,8 +32,8 @@
 	isolatedPartition
 )
 
-// partitionedNetwork is a transport that fails requests between hosts in different partitions. Hosts are members and nodes,
-// identified by name.
+// partitionedNetwork is a transport that fails requests between hosts in different partitions. Hosts are members and
+// nodes, identified by name.
 type partitionedNetwork struct {
 	mu         sync.Mutex
 	partitions map[string]int    // partition of each host; mainPartition if absent
@@ -43,25 +43,25 @@
 
 func newPartitionedNetwork(t *testing.T) *partitionedNetwork {
 	t.Helper()
-	s := &partitionedNetwork{partitions: map[string]int{}, names: map[string]string{}, Transport: &http.Transport{}}
-	t.Cleanup(s.CloseIdleConnections)
-	return s
+	n := &partitionedNetwork{partitions: map[string]int{}, names: map[string]string{}, Transport: &http.Transport{}}
+	t.Cleanup(n.CloseIdleConnections)
+	return n
 }
 
 // setPartition moves hosts to a partition. All hosts start in mainPartition.
-func (s *partitionedNetwork) setPartition(partition int, names ...string) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
+func (n *partitionedNetwork) setPartition(partition int, names ...string) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
 	for _, name := range names {
-		s.partitions[name] = partition
+		n.partitions[name] = partition
 	}
 }
 
 // connected reports whether a host is in the same partition as the host that listens at an address.
-func (s *partitionedNetwork) connected(from, address string) bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.partitions[from] == s.partitions[s.names[address]]
+func (n *partitionedNetwork) connected(from, address string) bool {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	return n.partitions[from] == n.partitions[n.names[address]]
 }
 
 // partitionTransport is the transport of one host in a partitionedNetwork.
@@ -71,12 +71,12 @@
 }
 
 // RoundTrip implements [http.RoundTripper].
-func (l partitionTransport) RoundTrip(request *http.Request) (*http.Response, error) {
-	if !l.connected(l.name, request.URL.Host) {
+func (p partitionTransport) RoundTrip(request *http.Request) (*http.Response, error) {
+	if !p.connected(p.name, request.URL.Host) {
 		return nil, errDisconnected
 	}
-	response, err := l.Transport.RoundTrip(request)
-	if err == nil && !l.connected(l.name, request.URL.Host) { // partitioned during the request
+	response, err := p.Transport.RoundTrip(request)
+	if err == nil && !p.connected(p.name, request.URL.Host) { // partitioned during the request
 		_ = response.Body.Close()
 		return nil, errDisconnected
 	}
@@ -240,8 +240,8 @@
 	return text.String()
 }
 
-// testQuorumSpec returns a spec with one node for each element of regions. Each region assigns all destinations to its own
-// nodes.
+// testQuorumSpec returns a spec with one node for each element of regions. Each region assigns all destinations to its
+// own nodes.
 func testQuorumSpec(destinations int, regions ...string) *clusterspec.Spec {
 	spec := testSpecWithConfigs(0, destinations)
 	for i, region := range regions {
@@ -318,9 +318,9 @@
 	}
 }
 
-// A partition separates the members of one region from the quorum. The region keeps its leader for longer than the leader
-// lease and its nodes' leases, since its members vote for the leader. Changes are committed in the other partition only.
-// The region applies them once the partition has healed.
+// A partition separates the members of one region from the quorum. The region keeps its leader for longer than the
+// leader lease and its nodes' leases, since its members vote for the leader. Changes are committed in the other
+// partition only. The region applies them once the partition has healed.
 func TestRegionWithoutQuorumKeepsLeader(t *testing.T) {
 	t.Parallel()
 	const destinations = 8
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -25,8 +25,8 @@
 	// NoEarlierLeases asserts that no control machine has ever granted a lease to these nodes, so that the first one
 	// grants leases without a grace period.
 	NoEarlierLeases bool
-	// AboveIncarnation is a lower bound: the next incarnation is greater. An operator sets it after the state was lost or
-	// restored from a backup, and only if no other control machine is running.
+	// AboveIncarnation is a lower bound: the next incarnation is greater. An operator sets it after the state was lost
+	// or restored from a backup, and only if no other control machine is running.
 	AboveIncarnation lease.Incarnation
 	Lease            time.Duration // lease.DefaultDuration if zero
 	MaxDrift         float64       // lease.DefaultMaxDrift if zero
@@ -41,8 +41,8 @@
 	// InitialWait is how long the first placement waits for nodes without a session, 5 s if zero. Otherwise the first
 	// nodes to connect would get all destinations, and then give most of them up again.
 	InitialWait time.Duration
-	// RestartGrace is how long a node that has closed its session remains an owner, one minute if zero, so that a restart
-	// moves no destination. The other owners get its quota in the meantime.
+	// RestartGrace is how long a node that has closed its session remains an owner, one minute if zero, so that a
+	// restart moves no destination. The other owners get its quota in the meantime.
 	RestartGrace time.Duration
 	// ReloadOn triggers a reload of the spec file, for instance on a signal. If nil, there is no such trigger.
 	ReloadOn <-chan os.Signal
@@ -98,8 +98,8 @@
 	return c
 }
 
-// Server assigns destinations to the nodes of a region. It runs standalone, or inside the [Member] that leads the region.
-// Its exported methods may be called from any goroutine.
+// Server assigns destinations to the nodes of a region. It runs standalone, or inside the [Member] that leads the
+// region. Its exported methods may be called from any goroutine.
 type Server struct {
 	config        ServerConfig
 	origin        time.Time
@@ -131,7 +131,7 @@
 
 // NewServer reads the cluster spec, begins the next incarnation and listens. The incarnation is on disk when NewServer
 // returns. The caller must call Run. NewServer returns the errors of clusterspec.Load, ErrLocked if another process uses
-// the state folder, ErrIncarnations, and errors of the state file and the listener.
+// the state folder, ErrIncarnationsExhausted, and errors of the state file and the listener.
 func NewServer(config ServerConfig) (*Server, error) {
 	config = config.withDefaults()
 	if config.Lease > lease.MaxDuration {
@@ -179,8 +179,8 @@
 	none    bool          // no lease was granted
 }
 
-// newRegionServer returns a server that grants leases under the incarnation of a state. It has no listener and no folder,
-// and does not persist the end of the grace period.
+// newRegionServer returns a server that grants leases under the incarnation of a state. It has no listener and no
+// folder, and does not persist the end of the grace period.
 func newRegionServer(config ServerConfig, state serverState, earlier earlierLeases) *Server {
 	origin := time.Now()
 	s := &Server{
--- a/internal/control/server_http.go
+++ b/internal/control/server_http.go
@@ -26,7 +26,8 @@
 	return mux
 }
 
-// serveRenew responds to a poll immediately if there is an update, or else when an update arrives or the wait has elapsed.
+// serveRenew responds to a poll immediately if there is an update, or else when an update arrives or the wait has
+// elapsed.
 func (s *Server) serveRenew(ctx context.Context, w http.ResponseWriter, r *http.Request) {
 	poll, err := s.readPoll(w, r)
 	if err != nil {
@@ -92,8 +93,8 @@
 	return min(time.Duration(milliseconds)*time.Millisecond, s.config.Lease/renewalsPerLease), nil
 }
 
-// errBusy reports that maxLargeRequests requests are in progress, and errSpecBusy that another change of the spec through
-// this member is in progress. Clients and operators get the same text for both: see docs/ROADMAP.md.
+// errBusy reports that maxLargeRequests requests are in progress, and errSpecBusy that another change of the spec
+// through this member is in progress. Clients and operators get the same text for both: see docs/ROADMAP.md.
 var (
 	errBusy     = errors.New(busyText)
 	errSpecBusy = errors.New(busyText)
@@ -131,8 +132,8 @@
 	return poll, nil
 }
 
-// statusOf returns the HTTP status and the code of an error.
-func statusOf(err error) (int, string) {
+// errorStatus returns the HTTP status and the code of an error.
+func errorStatus(err error) (int, string) {
 	var unknown *NodeError
 	switch {
 	case errors.As(err, &unknown):
@@ -160,7 +161,7 @@
 
 // writeError responds with an error.
 func writeError(w http.ResponseWriter, err error) {
-	status, code := statusOf(err)
+	status, code := errorStatus(err)
 	writeJSON(w, status, failure{Code: code, Error: err.Error()})
 }
 
@@ -182,7 +183,7 @@
 		w.WriteHeader(http.StatusInternalServerError)
 		return
 	}
-	w.Header()["Date"] = nil // omitted to save bytes, since each node gets a response every few seconds
+	w.Header()["Date"] = nil // omitted, since each node gets a response every few seconds
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set("Content-Length", strconv.Itoa(len(text)))
 	w.WriteHeader(status)
--- a/internal/control/server_placement.go
+++ b/internal/control/server_placement.go
@@ -11,9 +11,9 @@
 // maxOwnerChangesPerLock is the number of destinations that get new owners before Server.mu is released for polls.
 const maxOwnerChangesPerLock = 1000
 
-// schedulePlacement schedules a new placement after changes have been collected for Debounce, but not before earliest and
-// not before earlier leases have expired. The first placement also waits for InitialWait if some nodes have no session.
-// A placement that is already pending is not delayed. The caller holds mu.
+// schedulePlacement schedules a new placement after changes have been collected for Debounce, but not before earliest
+// and not before earlier leases have expired. The first placement also waits for InitialWait if some nodes have no
+// session. A placement that is already pending is not delayed. The caller holds mu.
 func (s *Server) schedulePlacement(now, earliest time.Duration) {
 	if s.table.Load() == nil && s.grantor.SessionCount() < len(s.spec.Nodes) {
 		earliest = max(earliest, s.config.InitialWait)
@@ -75,8 +75,8 @@
 	return departed && now < until
 }
 
-// expireDepartures removes nodes from departed that have a session again or whose RestartGrace has elapsed. It schedules a
-// placement for the time when the RestartGrace of the next node elapses. The caller holds mu.
+// expireDepartures removes nodes from departed that have a session again or whose RestartGrace has elapsed. It
+// schedules a placement for the time when the RestartGrace of the next node elapses. The caller holds mu.
 func (s *Server) expireDepartures(now time.Duration) {
 	maps.DeleteFunc(s.departed, func(id placement.NodeID, until time.Duration) bool {
 		return now >= until || s.grantor.HasSession(id)
@@ -98,11 +98,11 @@
 }
 
 // endGrace ends the grace period once leases of earlier incarnations must have expired. Reclaimed destinations without
-// owners in the placement lose their owners, and waiting polls are answered. The end is persisted, so that the next start
-// waits only for leases of the current duration.
+// owners in the placement lose their owners, and waiting polls are answered. The end is persisted, so that the next
+// start waits only for leases of the current duration.
 //
-// A failed write is logged, and endGrace does not retry it. Until Server.Drain writes the state, a restarted server waits
-// for the longer lease, which is safe.
+// A failed write is logged, and endGrace does not retry it. Until Server.Drain writes the state, a restarted server
+// waits for the longer lease, which is safe.
 func (s *Server) endGrace() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/control/server_sessions.go
+++ b/internal/control/server_sessions.go
@@ -17,8 +17,8 @@
 // ErrNoConfigs reports that a node asks for the configs of its destinations but the cluster spec contains none.
 var ErrNoConfigs = errors.New("the world has no endpoints of destinations, and the node has none of its own")
 
-// receivePoll passes the request of a poll to the grantor. It returns the session, or 0 if the request has closed it, and
-// a channel that is closed when there is an update. The channel is nil if the poll can be answered immediately.
+// receivePoll passes the request of a poll to the grantor. It returns the session, or 0 if the request has closed it,
+// and a channel that is closed when there is an update. The channel is nil if the poll can be answered immediately.
 func (s *Server) receivePoll(poll pollRequest) (lease.SessionID, <-chan struct{}, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -69,8 +69,8 @@
 	s.expireSessions(now)
 }
 
-// answerPoll renews the lease of a session and returns the reply to its poll. It returns errNotLeader if the server may no
-// longer grant leases.
+// answerPoll renews the lease of a session and returns the reply to its poll. It returns errNotLeader if the server may
+// no longer grant leases.
 func (s *Server) answerPoll(id lease.SessionID, poll pollRequest, updated <-chan struct{}) (pollReply, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/control/server_state.go
+++ b/internal/control/server_state.go
@@ -16,8 +16,8 @@
 	lockName  = "control.lock"
 )
 
-// ErrIncarnations reports that there is no incarnation left, since lease.MaxIncarnation has been used.
-var ErrIncarnations = errors.New("maximum incarnation exceeded")
+// ErrIncarnationsExhausted reports that there is no incarnation left, since lease.MaxIncarnation has been used.
+var ErrIncarnationsExhausted = errors.New("maximum incarnation exceeded")
 
 // serverState is the content of a server's state file.
 type serverState struct {
@@ -33,7 +33,7 @@
 	lock *os.File
 }
 
-// openStateFolder locks a folder, which it creates if there is none.
+// openStateFolder locks a folder, and creates it if it does not exist.
 func openStateFolder(path string) (*stateFolder, error) {
 	if err := os.MkdirAll(path, 0o700); err != nil {
 		return nil, fmt.Errorf("creating the state folder: %w", err)
@@ -55,7 +55,7 @@
 	next.Incarnation = max(previous.Incarnation, above) + 1
 	next.LongestLease = max(previous.LongestLease, duration)
 	if next.Incarnation > lease.MaxIncarnation {
-		return next, previous, ErrIncarnations
+		return next, previous, ErrIncarnationsExhausted
 	}
 	return next, previous, f.persist(next)
 }
--- a/internal/control/statefile.go
+++ b/internal/control/statefile.go
@@ -17,11 +17,12 @@
 // ErrLocked reports that another running process has locked a file.
 var ErrLocked = errors.New("locked by another process")
 
-// lockFile locks a file, and creates it if it does not exist. The lock ends when the file is closed or the process exits.
+// lockFile locks a file, and creates it if it does not exist. The lock ends when the file is closed or the process
+// exits.
 func lockFile(path string) (*os.File, error) {
 	file, err := os.OpenFile(path, os.O_RDWR|os.O_CREATE, 0o600)
 	if err != nil {
-		return nil, fmt.Errorf("opening the lock: %w", err)
+		return nil, fmt.Errorf("opening lock file: %w", err)
 	}
 	if err := syscall.Flock(int(file.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
 		_ = file.Close()
@@ -48,10 +49,10 @@
 		return fmt.Errorf("reading the state: %w", err)
 	}
 	if len(text) > maxStateBytes {
-		return fmt.Errorf("%s: more than %d bytes", path, maxStateBytes)
+		return fmt.Errorf("state file %s exceeds %d bytes", path, maxStateBytes)
 	}
 	if err := json.Unmarshal(text, into); err != nil {
-		return fmt.Errorf("%s: %w", path, err)
+		return fmt.Errorf("decoding state file %s: %w", path, err)
 	}
 	return nil
 }
