--- a/internal/control/fuzz_test.go
+++ b/internal/control/fuzz_test.go
@@ -12,6 +12,7 @@
 	"wingmount/internal/clusterspec"
 )
 
+// Requests of faulty nodes must neither crash the grantor nor open more sessions than MaxSessions.
 func FuzzRequest(f *testing.F) {
 	for _, request := range []lease.Request{
 		{Node: "n1", Process: 7, Sequence: 1},
@@ -54,6 +55,8 @@
 	})
 }
 
+// Replies of a faulty control machine must not crash the agent. It must reject invalid configs, quotas outside 0 to 1
+// and excessive leases, and have no assignments after an error.
 func FuzzReply(f *testing.F) {
 	reply := pollReply{
 		Reply: lease.Reply{
@@ -70,37 +73,38 @@
 	f.Add([]byte(`{"incarnation":1,"sequence":1,"claims_wanted":true}`))
 	f.Fuzz(func(t *testing.T, text []byte) {
 		var reply pollReply
-		if readAnswer(bytes.NewReader(text), maxReplyBytes, &reply) != nil {
+		if decodeResponse(bytes.NewReader(text), maxReplyBytes, &reply) != nil {
 			return
 		}
 		agent := &Agent{config: AgentConfig{Node: "n1"}.withDefaults(), holder: lease.NewHolder(lease.HolderConfig{Node: "n1", Process: 1})}
 		holder := agent.holder
 		holder.Renew(0)
 		_, err := holder.Receive(time.Millisecond, reply.Reply)
-		for _, record := range agent.validConfigs(reply.Configs) {
-			if record.Validate() != nil {
-				t.Fatalf("an invalid config is used: %+v", record)
+		for _, received := range agent.validConfigs(reply.Configs) {
+			if received.Validate() != nil {
+				t.Fatalf("got invalid config %+v", received)
 			}
 		}
 		if err != nil && (holder.Valid(time.Millisecond) || holder.Len() > 0) {
-			t.Fatalf("got assignments after the error %v", err)
+			t.Fatalf("got assignments or a lease after error %v", err)
 		}
 		for assignment := range holder.Assignments {
-			if share := holder.Quota(time.Millisecond, assignment.Destination); !(share >= 0 && share <= 1) {
-				t.Fatalf("got a quota of %v", share)
+			if quota := holder.Quota(time.Millisecond, assignment.Destination); !(quota >= 0 && quota <= 1) {
+				t.Fatalf("got a quota of %v", quota)
 			}
 		}
 		if holder.Expiry() > lease.MaxDuration {
-			t.Fatalf("got a lease until %v", holder.Expiry())
+			t.Fatalf("got lease expiry %v, want lease.MaxDuration at most", holder.Expiry())
 		}
 	})
 }
 
+// Malformed responses to lookups of owners must not crash the client.
 func FuzzOwners(f *testing.F) {
 	f.Add([]byte(`{"destination":1,"owners":[{"node":"n1","address":"127.0.0.1:9001"}]}`))
 	f.Fuzz(func(_ *testing.T, text []byte) {
 		var owners Owners
-		_ = readAnswer(bytes.NewReader(text), maxOwnersBytes, &owners)
+		_ = decodeResponse(bytes.NewReader(text), maxOwnersBytes, &owners)
 	})
 }
 
@@ -130,7 +134,9 @@
 region = "north"
 `
 
-func TestLoadSpecAndReload(t *testing.T) {
+// An operator reloads an invalid spec file. The server must keep its spec, and apply a valid file that is reloaded
+// later.
+func TestReloadAppliesOnlyValidSpec(t *testing.T) {
 	t.Parallel()
 	path := filepath.Join(t.TempDir(), "world.toml")
 	if err := os.WriteFile(path, []byte(specText), 0o600); err != nil {
@@ -147,11 +153,11 @@
 		t.Fatal("got no error for an invalid file")
 	}
 	if state := server.State(); state.Destinations != 2 {
-		t.Fatalf("got %+v, want the previous spec in force", state)
+		t.Fatalf("got state %+v, want the previous spec", state)
 	}
 	if err := os.WriteFile(path, []byte(specText+"[[destination]]\nnumber=9\nrate=1\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	reload <- os.Interrupt
-	eventually(t, "the new spec is in force", func() bool { return server.State().Destinations == 3 })
+	eventually(t, "the new spec is applied", func() bool { return server.State().Destinations == 3 })
 }
--- a/internal/control/statefile.go
+++ b/internal/control/statefile.go
@@ -11,17 +11,18 @@
 	"syscall"
 )
 
-// maxStateBytes bounds a state file.
+// maxStateBytes is the maximum size of a state file.
 const maxStateBytes = 1 << 20
 
-// ErrLocked reports that another running process has the lock.
-var ErrLocked = errors.New("another process has it locked")
+// ErrLocked reports that another running process has locked a file.
+var ErrLocked = errors.New("locked by another process")
 
-// lockFile locks a file, which it creates if there is none, until the file is closed or the process ends.
+// lockFile locks a file, and creates it if it does not exist. The lock ends when the file is closed or the process
+// exits.
 func lockFile(path string) (*os.File, error) {
 	file, err := os.OpenFile(path, os.O_RDWR|os.O_CREATE, 0o600)
 	if err != nil {
-		return nil, fmt.Errorf("opening the lock: %w", err)
+		return nil, fmt.Errorf("opening lock file: %w", err)
 	}
 	if err := syscall.Flock(int(file.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
 		_ = file.Close()
@@ -33,7 +34,7 @@
 	return file, nil
 }
 
-// readState decodes a JSON file into a value, which stays as it is if there is no file.
+// readState decodes a JSON file into a value. If the file does not exist, the value is unchanged.
 func readState(path string, into any) error {
 	file, err := os.Open(path)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -48,15 +49,15 @@
 		return fmt.Errorf("reading the state: %w", err)
 	}
 	if len(text) > maxStateBytes {
-		return fmt.Errorf("%s: more than %d bytes", path, maxStateBytes)
+		return fmt.Errorf("state file %s exceeds %d bytes", path, maxStateBytes)
 	}
 	if err := json.Unmarshal(text, into); err != nil {
-		return fmt.Errorf("%s: %w", path, err)
+		return fmt.Errorf("decoding state file %s: %w", path, err)
 	}
 	return nil
 }
 
-// writeState writes a value as a JSON file atomically. It is on disk when writeState returns.
+// writeState writes a value atomically as a JSON file. The file is on disk when writeState returns without an error.
 func writeState(path string, value any) error {
 	text, err := json.Marshal(value)
 	if err != nil {
