--- a/internal/egress/authorizer_test.go
+++ b/internal/egress/authorizer_test.go
@@ -7,15 +7,16 @@
 	"wingmount/internal/testkit"
 )
 
-// authorizer allows calls until it is set to denied.
+// authorizer allows calls while denied is not set.
 type authorizer struct{ denied atomic.Bool }
 
 func (a *authorizer) MayCall(int) bool { return !a.denied.Load() }
 
-// A call is not sent if its quota is lost before the first byte, also while its attempts are persisted.
-func TestBeginWithoutQuota(t *testing.T) {
+// A call must not be sent if the node loses its quota before the first byte, even if that happens while the attempts
+// are persisted.
+func TestBeginWithoutQuotaReturnsErrNoQuota(t *testing.T) {
 	for name, c := range map[string]struct {
-		before, meanwhile bool // denied before Begin, or while it persists the attempts
+		before, meanwhile bool // whether calls are denied before Begin, and while it persists the attempts
 		want              error
 		recorded          int
 	}{
--- a/internal/egress/call.go
+++ b/internal/egress/call.go
@@ -7,11 +7,11 @@
 	"wingmount/policy"
 )
 
-// deadlineMargin is how long before the deadline of its first message a call ends.
+// deadlineMargin is the time by which a call ends before the earliest deadline of its messages.
 const deadlineMargin = 10 * time.Millisecond
 
-// Endpoint is one address of a destination. Only its gates change after it is created. One
-// exists for each endpoint in the endpoint list, in use or not, so it is kept small.
+// Endpoint is one address of a destination. Only its gates change after it is created. Each
+// endpoint in the endpoint list has an Endpoint, even if it is not in use, so the struct is small.
 type Endpoint struct {
 	ID             policy.EndpointID
 	Name           string // its ID in the endpoint list
@@ -27,21 +27,21 @@
 	Message *message.Message
 	Attempt int // number of the attempt, from 0
 
-	finished bool // its outcome was recorded; guarded by Call.mu
+	finished bool // set when its outcome is first reported to Finish; guarded by Call.mu
 }
 
 // Call is one call to an endpoint: a single message or a batch.
 //
-// All messages of a batch end together, at the earliest deadline among them. If the call
-// continued past it, a message could get its final response while its attempt is outstanding,
-// and a response after that time would complete the others although the endpoint no longer
+// A batch ends for all its messages at once, at the earliest of their deadlines. If the call
+// continued past that deadline, a message could get its final response while its attempt is
+// outstanding. A later response would complete the other messages although the endpoint no longer
 // counts the call.
 type Call struct {
 	Endpoint *Endpoint
 	Addr     string // HOST:PORT
 	// DecidedAt is when the engine decided on the call, before it connects and persists its attempts.
 	DecidedAt time.Time
-	Limit     time.Duration // counted from DecidedAt; the shortest timeout of the parts
+	Limit     time.Duration // time for the call from DecidedAt; at first the shortest timeout of its parts
 	Parts     []*Part
 
 	mu sync.Mutex
@@ -55,8 +55,8 @@
 	c.Parts = append(c.Parts, &Part{Message: m})
 }
 
-// Deadline returns when the call must have ended for its first message to meet its deadline,
-// whatever Limit is. It panics if the call has no parts.
+// Deadline returns the time by which the call must end, regardless of Limit, so that every message
+// meets its deadline. It panics if the call has no parts.
 func (c *Call) Deadline() time.Time {
 	earliest := c.Parts[0].Message.Deadline
 	for _, p := range c.Parts[1:] {
@@ -67,18 +67,18 @@
 	return earliest.Add(-deadlineMargin)
 }
 
-// LimitedByDeadline reports whether the call's limit comes from the deadline of a message
-// rather than from the time that a response may take.
+// LimitedByDeadline reports whether the call's limit results from the deadline of a message
+// rather than from the response timeout.
 func (c *Call) LimitedByDeadline() bool {
 	return c.Deadline().Sub(c.DecidedAt) <= c.Limit+deadlineMargin
 }
 
-// IsOpen reports whether both gates of the endpoint let the call be sent at now.
+// IsOpen reports whether both gates of the endpoint are open at now.
 func (c *Call) IsOpen(now time.Time) bool {
 	return c.Endpoint.DrainGate.IsOpen(now) && c.Endpoint.RetryAfterGate.IsOpen(now)
 }
 
-// recordDeadline returns when the attempts of the call must be persisted.
+// recordDeadline returns the time by which the attempts of the call must be persisted.
 func (c *Call) recordDeadline(now time.Time) time.Time {
 	if by := now.Add(RecordTimeout); by.Before(c.Deadline()) {
 		return by
@@ -86,12 +86,12 @@
 	return c.Deadline()
 }
 
-// extend raises the call's limit by a duration, but not past the call's deadline.
+// extend increases the call's limit by a duration, but not beyond the call's deadline.
 func (c *Call) extend(by time.Duration) {
 	c.Limit = max(c.Limit, min(c.Limit+by, c.Deadline().Sub(c.DecidedAt)))
 }
 
-// finish marks a part as finished and reports whether it was not finished before.
+// finish marks a part as finished. It returns false if the part was already finished.
 func (c *Call) finish(p *Part) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/egress/call_test.go
+++ b/internal/egress/call_test.go
@@ -6,8 +6,7 @@
 	"wingmount/internal/message"
 )
 
-// The limit of a call is the shortest timeout of its messages, and it is never extended past its
-// deadline.
+// The limit of a call is the shortest timeout of its messages. It is never extended beyond the call's deadline.
 func TestCallLimitIsShortestOfItsMessages(t *testing.T) {
 	call := newCall()
 	call.Parts, call.Limit = nil, 0
@@ -18,13 +17,13 @@
 		t.Errorf("got a limit of %v, want 900 ms", call.Limit)
 	}
 	if call.LimitedByDeadline() {
-		t.Error("got LimitedByDeadline for a limit 0.1 s before the deadline, want not")
+		t.Error("got LimitedByDeadline true for a limit 0.1 s before the deadline, want false")
 	}
 	call.extend(time.Hour)
 	if !call.LimitedByDeadline() {
-		t.Error("got a limit not from the deadline, want it from the deadline")
+		t.Error("got LimitedByDeadline false after an extension to the deadline, want true")
 	}
 	if call.Limit != time.Second-deadlineMargin {
-		t.Errorf("got a limit of %v after an extension, want 10 ms less than 1 s", call.Limit)
+		t.Errorf("got a limit of %v after an extension, want 1 s minus 10 ms", call.Limit)
 	}
 }
--- a/internal/egress/gate.go
+++ b/internal/egress/gate.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// Gate has the times between which calls may be sent, by the wall clock. The policy module enforces
-// the same times when it decides; the gate covers a call that was decided before the change and is
-// still connecting. The zero Gate is open. It is safe for concurrent use.
+// Gate limits an endpoint's calls to a time interval of the wall clock. The policy module applies
+// the same interval when it decides on a call. The gate stops a call that was decided before the
+// interval changed and is still connecting. The zero Gate is open. A Gate is safe for concurrent use.
 type Gate struct {
 	closedFrom  atomic.Int64 // Unix nanoseconds, 0 if no closing time is set
 	closedUntil atomic.Int64 // Unix nanoseconds
@@ -19,7 +19,7 @@
 	return (from == 0 || now.UnixNano() < from) && now.UnixNano() >= g.closedUntil.Load()
 }
 
-// CloseUntil closes the gate until the given time. It never shortens an earlier closure.
+// CloseUntil closes the gate until the given time. It never shortens a closure already set.
 func (g *Gate) CloseUntil(until time.Time) {
 	for {
 		old := g.closedUntil.Load()
@@ -29,11 +29,11 @@
 	}
 }
 
-// CloseAt closes the gate from the given time on, until Reopen. It does nothing if a closing
-// time is already set.
+// CloseAt closes the gate from the given time until Reopen is called. It does nothing if a
+// closing time is already set.
 func (g *Gate) CloseAt(at time.Time) { g.closedFrom.CompareAndSwap(0, at.UnixNano()) }
 
-// CloseScheduled reports whether a closing time is set, in the past or in the future.
+// CloseScheduled reports whether CloseAt has set a closing time, past or future.
 func (g *Gate) CloseScheduled() bool { return g.closedFrom.Load() != 0 }
 
 // Reopen removes the closing time set by CloseAt.
--- a/internal/egress/recorder.go
+++ b/internal/egress/recorder.go
@@ -1,9 +1,11 @@
-// Package egress defines outgoing calls for all protocols: the call itself, the gates that may
-// stop it until its first byte is sent, and the persisting and reporting of its outcomes.
+// Package egress defines outgoing calls independently of the protocol: the call itself, the gates
+// that can stop it before its first byte is sent, and the recorder that persists and reports its
+// outcomes.
 //
 // A protocol implementation calls [Recorder.Begin] right before the first byte of a call and
-// [Recorder.Finish] for each message of it. Gates and the recorder are safe for concurrent use.
-// A call belongs to one goroutine, except that several may call Finish: the first one counts.
+// [Recorder.Finish] for each of its messages. Gates and the recorder are safe for concurrent use.
+// A call belongs to one goroutine, except that several goroutines may call Finish: for each
+// message, only the first Finish has an effect.
 //
 // Start reading at [Recorder].
 package egress
@@ -21,21 +23,22 @@
 )
 
 const (
-	// MaxRetryAfter is the longest Retry-After that is accepted from an endpoint. One wrong
-	// value must not close a destination for days.
+	// MaxRetryAfter is the longest Retry-After accepted from an endpoint, so that one wrong value
+	// does not close a destination for days.
 	MaxRetryAfter = 5 * time.Minute
-	// RecordTimeout is how long persisting the attempts of a call may take before the call is
-	// dropped. The time is added to the call's limit, so that a slow store does not use up the
-	// attempts of messages whose endpoint responds.
+	// RecordTimeout limits the time for persisting the attempts of a call; after it the call is
+	// dropped. The time used is added to the call's limit, so that a slow store does not use up
+	// the attempts of messages whose endpoint responds.
 	RecordTimeout = 250 * time.Millisecond
 )
 
-// ErrClosed means that an endpoint is draining, was removed, or sent a Retry-After.
-var ErrClosed = errors.New("the endpoint is closed to calls")
+// ErrClosed means that no call may be sent to an endpoint: it is draining, was removed, or sent a
+// Retry-After. See also [ErrNoQuota].
+var ErrClosed = errors.New("endpoint is closed to calls")
 
-// ErrNoQuota means that this node may not call the destination now: its lease has expired or
-// it has no quota of the destination's limit. It wraps [ErrClosed].
-var ErrNoQuota = fmt.Errorf("%w: this node has no share of its limit", ErrClosed)
+// ErrNoQuota means that this node may not call the destination now: the node's lease has expired
+// or it has no quota of the destination's limit. ErrNoQuota wraps [ErrClosed].
+var ErrNoQuota = fmt.Errorf("%w: this node has no quota of the destination's limit", ErrClosed)
 
 // Failure points around sending an attempt and persisting its outcome.
 var (
@@ -45,39 +48,41 @@
 	afterOutcome  = failpoint.New("carrier/after-outcome")
 )
 
-// CallAuthorizer reports whether this node may call a destination now, where destinations are
-// assigned to nodes. It is consulted before the first byte of each call; implementations must
-// be fast and safe for concurrent use.
+// CallAuthorizer reports whether this node may call a destination now. It is used where
+// destinations are assigned to nodes. MayCall is called before the first byte of each call;
+// implementations must be fast and safe for concurrent use.
 type CallAuthorizer interface{ MayCall(destination int) bool }
 
 // Recorder persists the attempts and outcomes of calls and reports the outcomes. It is safe for
 // concurrent use.
 type Recorder struct {
 	Store store.Store
-	// Authorizer may forbid calls; nil allows all of them.
+	// Authorizer can forbid calls; nil allows all calls.
 	Authorizer CallAuthorizer
-	// WriteContext bounds the writes of outcomes; nil for never. It ends, if at all, when the node stops and the store
-	// could not persist them in time: they stay queued in the store.
+	// WriteContext bounds the writes of outcomes; if it is nil, they are unbounded. It is cancelled only if the node
+	// stops and the store could not persist the outcomes in time. Those outcomes stay queued in the store.
 	WriteContext context.Context
 	Log          *slog.Logger
-	// OnOutcome is called once for each part, with the error of the store if the outcome was not persisted.
+	// OnOutcome is called once for each part. storeErr is the store's error if the outcome was not persisted.
 	OnOutcome func(e policy.AttemptCompleted, storeErr error)
 }
 
-// CheckPermitted returns nil if bytes of a call whose attempts are persisted may be sent now.
-// It returns [ErrClosed] if a gate or the authorizer forbids it, and [store.ErrFenced] if the
-// node's lease on the store has expired, for example after a pause of the process.
+// CheckPermitted returns nil if a call whose attempts are persisted may be sent now. It returns
+// [ErrClosed] if a gate forbids the call, [ErrNoQuota] if the authorizer does, and
+// [store.ErrFenced] if the node's lease on the store has expired, for example because the process
+// was paused.
 func (r *Recorder) CheckPermitted(c *Call, now time.Time) error {
 	if err := r.checkAllowed(c, now); err != nil {
 		return err
 	}
 	if s, ok := r.Store.(store.Shared); ok && !s.Owned() {
-		return fmt.Errorf("the lease has run out: %w", store.ErrFenced)
+		return fmt.Errorf("the store lease has expired: %w", store.ErrFenced)
 	}
 	return nil
 }
 
-// checkAllowed returns nil if the endpoint's gates and the authorizer allow the call now.
+// checkAllowed returns nil if the endpoint's gates and the authorizer allow the call now, or else
+// [ErrClosed] or [ErrNoQuota].
 func (r *Recorder) checkAllowed(c *Call, now time.Time) error {
 	if !c.IsOpen(now) {
 		return ErrClosed
@@ -89,16 +94,16 @@
 }
 
 // Begin persists the attempts of a call within [RecordTimeout] and extends the call's limit by
-// the time that took, up to the call's deadline. Only if it returns nil may the first byte be
-// sent, and at once. It returns
-//   - [ErrClosed] if a gate forbids the call, or [ErrNoQuota], which wraps it, if the authorizer
-//     does; also if that changed while the attempts were persisted,
+// the time used, up to the call's deadline. The caller may send the first byte only if Begin
+// returns nil, and must then do so immediately. Begin returns
+//   - [ErrClosed] if a gate forbids the call, or [ErrNoQuota], which wraps ErrClosed, if the
+//     authorizer does, before or after the attempts are persisted,
 //   - [store.ErrFenced] if the node's lease on the store has expired,
 //   - [store.ErrKeyExpired] if the idempotency key of a message has expired,
 //   - [store.ErrCompleted] if a message is completed.
 //
-// Any other error is the store's, a deadline included, or that of a failure point. After an error
-// the attempts may be on record, and nothing was sent.
+// Any other error is from the store, including an exceeded deadline, or from a failure point.
+// After an error the attempts may have been persisted, but nothing was sent.
 func (r *Recorder) Begin(ctx context.Context, c *Call) error {
 	now := time.Now()
 	if err := r.checkAllowed(c, now); err != nil {
@@ -136,7 +141,8 @@
 }
 
 // checkKeys returns [store.ErrKeyExpired] if the idempotency key of a message has expired. The
-// window of a key applies to the first byte, so it is checked again after the store returned.
+// first byte must be sent within the key's window, so the window is checked again after the store
+// has returned.
 func checkKeys(c *Call, now time.Time) error {
 	for _, p := range c.Parts {
 		if p.Message.History.KeyExpired(p.Message.KeyWindow, now) {
@@ -146,8 +152,8 @@
 	return nil
 }
 
-// writeContext returns the context of the writes of outcomes. It is not that of the call, which may have expired: the
-// outcome must be persisted nevertheless.
+// writeContext returns the context of the writes of outcomes. The context of the call is not used because it may have
+// expired, and the outcome must be persisted even then.
 func (r *Recorder) writeContext() context.Context {
 	if r.WriteContext == nil {
 		return context.Background()
@@ -155,9 +161,9 @@
 	return r.WriteContext
 }
 
-// Finish persists the outcome of one message and reports it to OnOutcome. Only the first call
-// for a part has an effect. Finish sets Message, Attempt, Endpoint and Duration of the event. An
-// outcome that could not be persisted is reported with the error of the store.
+// Finish persists the outcome of one message and reports it to OnOutcome. Only the first Finish
+// for a part has an effect. Finish sets Message, Attempt, Endpoint and Duration of the event. If
+// the outcome could not be persisted, it is reported with the store's error.
 func (r *Recorder) Finish(c *Call, p *Part, e policy.AttemptCompleted) {
 	if !c.finish(p) {
 		return
@@ -168,8 +174,8 @@
 		CompletesUndelivered: e.Final && e.Outcome != policy.Delivered,
 	})
 	if err != nil {
-		// Only the attempt is persisted then: after a restart it counts as one that may have run.
-		r.Log.Error("egress: call outcome not stored", "id", p.Message.ID, "err", err)
+		// Only the attempt is persisted, so after a restart it counts as an attempt that may have run.
+		r.Log.Error("egress: call outcome not persisted", "id", p.Message.ID, "err", err)
 	}
 	_ = afterOutcome.At()
 	e.Message, e.Attempt, e.Endpoint, e.Duration = p.Message.Seq, p.Attempt, c.Endpoint.ID, time.Since(c.DecidedAt)
--- a/internal/egress/recorder_test.go
+++ b/internal/egress/recorder_test.go
@@ -13,7 +13,8 @@
 
 var errNoDisk = errors.New("no disk")
 
-// recordingStore records attempts and outcomes, and runs a test's function during RecordAttempt.
+// recordingStore records attempts and outcomes, and calls meanwhile, if it is set, in RecordAttempt.
+// RecordOutcome always fails with errNoDisk.
 type recordingStore struct {
 	store.Store
 	attempts  []store.Attempt
@@ -53,8 +54,8 @@
 }
 
 // A gate that closes before the first byte stops the call. If it closes while the attempts are
-// persisted, they stay persisted and nothing is sent.
-func TestBegin(t *testing.T) {
+// persisted, Begin still returns an error, and the attempts stay persisted.
+func TestBeginWithClosedGateOrStoreErrorFails(t *testing.T) {
 	for name, c := range map[string]struct {
 		before    func(*Call)
 		meanwhile func(*Call) error
@@ -82,7 +83,7 @@
 				t.Errorf("got %v, want %v", err, c.want)
 			}
 			if (len(s.attempts) == 1) != c.recorded {
-				t.Errorf("got attempts %+v, want any: %t", s.attempts, c.recorded)
+				t.Errorf("got attempts %+v, want one: %t", s.attempts, c.recorded)
 			}
 			if c.recorded && (s.attempts[0].Endpoint != "e1" || s.attempts[0].Zone != 1 || len(s.attempts[0].Messages) != 2) {
 				t.Errorf("got attempt %+v, want two messages at e1 in zone 1", s.attempts[0])
@@ -91,9 +92,9 @@
 	}
 }
 
-// Only the first outcome of a part is persisted and reported. It is reported even if it could not
-// be persisted, with the error of the store.
-func TestFinish(t *testing.T) {
+// Only the first outcome of a part is persisted and reported. If it could not be persisted, it is
+// reported with the store's error.
+func TestFinishReportsFirstOutcomeOnly(t *testing.T) {
 	call, s := newCall(), &recordingStore{}
 	var reported []policy.AttemptCompleted
 	r := &Recorder{Store: s, Log: testkit.QuietLog(), OnOutcome: func(e policy.AttemptCompleted, storeErr error) {
@@ -106,7 +107,7 @@
 	r.Finish(call, call.Parts[1], policy.AttemptCompleted{Outcome: policy.TimedOut})
 	r.Finish(call, call.Parts[0], policy.AttemptCompleted{Outcome: policy.NotSent, Final: true})
 	if len(s.outcomes) != 2 || s.outcomes[0].CompletesUndelivered || !s.outcomes[1].CompletesUndelivered || s.outcomes[0].Endpoint != "e1" {
-		t.Errorf("got outcomes %+v, want a delivery, then one that completes the message undelivered", s.outcomes)
+		t.Errorf("got outcomes %+v, want a delivery, then an outcome that completes its message undelivered", s.outcomes)
 	}
 	if len(reported) != 2 || reported[0].Message != 5 || reported[0].Attempt != 2 || reported[0].Endpoint != 9 ||
 		reported[0].Outcome != policy.Delivered || reported[1].Message != 4 {
@@ -114,7 +115,7 @@
 	}
 }
 
-// stalledStore returns from RecordOutcome only when the context ends.
+// stalledStore blocks in RecordOutcome until the context is done.
 type stalledStore struct{ store.Store }
 
 func (stalledStore) RecordOutcome(ctx context.Context, _ store.Outcome) error {
@@ -122,12 +123,12 @@
 	return ctx.Err()
 }
 
-// Finish waits for the store until the write context ends, and reports the outcome then.
-func TestFinishEndsWithWriteContext(t *testing.T) {
+// Finish waits for the store until the write context is cancelled, and then reports the outcome.
+func TestFinishReturnsWhenWriteContextIsCancelled(t *testing.T) {
 	call := newCall()
-	writes, endWrites := context.WithCancel(t.Context())
+	writeCtx, cancelWrites := context.WithCancel(t.Context())
 	reported := make(chan error, 1)
-	r := &Recorder{Store: stalledStore{}, WriteContext: writes, Log: testkit.QuietLog(), OnOutcome: func(_ policy.AttemptCompleted, storeErr error) {
+	r := &Recorder{Store: stalledStore{}, WriteContext: writeCtx, Log: testkit.QuietLog(), OnOutcome: func(_ policy.AttemptCompleted, storeErr error) {
 		reported <- storeErr
 	}}
 	finished := make(chan struct{})
@@ -137,20 +138,20 @@
 	}()
 	select {
 	case err := <-reported:
-		t.Errorf("reported %v before the write context ended", err)
-	case <-time.After(20 * time.Millisecond): // long enough for one that does not wait to show
+		t.Errorf("got outcome reported with store error %v before the write context was cancelled, want it later", err)
+	case <-time.After(20 * time.Millisecond): // long enough to detect a Finish that does not wait
 	}
-	endWrites()
+	cancelWrites()
 	<-finished
 	if err := <-reported; !errors.Is(err, context.Canceled) {
 		t.Errorf("got store error %v, want context.Canceled", err)
 	}
 }
 
-// The time that persisting takes is added to the call's limit, up to its deadline. A store that
-// does not respond gets RecordTimeout, and not longer than the deadline.
-func TestRecordTimeExtendsLimit(t *testing.T) {
-	slow := func(d time.Duration) *slowStore { return &slowStore{takes: d} }
+// The time for persisting the attempts is added to the call's limit, up to the call's deadline. For a
+// store that does not respond, Begin waits for RecordTimeout at most, and not beyond the deadline.
+func TestBeginExtendsLimitByTimeToPersist(t *testing.T) {
+	slow := func(d time.Duration) *slowStore { return &slowStore{delay: d} }
 	callWith := func(timeout, left time.Duration) *Call {
 		call := newCall()
 		call.Limit = timeout
@@ -162,7 +163,7 @@
 	call := callWith(5*time.Millisecond, time.Minute)
 	testkit.Must(t, (&Recorder{Store: slow(30 * time.Millisecond), Log: testkit.QuietLog()}).Begin(t.Context(), call))
 	if call.Limit < 35*time.Millisecond || call.Limit > 5*time.Millisecond+RecordTimeout {
-		t.Errorf("got a limit of %v after 30 ms of persisting, want 5 ms and 30 to 250 more", call.Limit)
+		t.Errorf("got a limit of %v after 30 ms of persisting, want 5 ms plus 30 to 250 ms", call.Limit)
 	}
 	call = callWith(50*time.Millisecond, 70*time.Millisecond)
 	testkit.Must(t, (&Recorder{Store: slow(30 * time.Millisecond), Log: testkit.QuietLog()}).Begin(t.Context(), call))
@@ -172,10 +173,10 @@
 	for _, c := range []struct{ left, most time.Duration }{{time.Minute, RecordTimeout}, {60 * time.Millisecond, 50 * time.Millisecond}} {
 		call, s := callWith(time.Second, c.left), slow(time.Hour)
 		if err := (&Recorder{Store: s, Log: testkit.QuietLog()}).Begin(t.Context(), call); !errors.Is(err, context.DeadlineExceeded) {
-			t.Errorf("got %v of a store that does not respond, want a deadline error", err)
+			t.Errorf("got %v with a store that does not respond, want context.DeadlineExceeded", err)
 		}
-		if got := s.by.Sub(call.DecidedAt); got > c.most+20*time.Millisecond { // tolerance for scheduling
-			t.Errorf("with %v left: got a timeout of %v, want at most %v", c.left, got, c.most)
+		if got := s.deadline.Sub(call.DecidedAt); got > c.most+20*time.Millisecond { // tolerance for scheduling
+			t.Errorf("with %v until the deadline: got a timeout of %v, want at most %v", c.left, got, c.most)
 		}
 		if call.Limit != time.Second {
 			t.Errorf("got a limit of %v for a dropped call, want 1 s", call.Limit)
@@ -183,19 +184,19 @@
 	}
 }
 
-// slowStore takes some time for each attempt.
+// slowStore persists each attempt after a delay.
 type slowStore struct {
 	store.Store
-	takes time.Duration
-	by    time.Time
+	delay    time.Duration
+	deadline time.Time // of the context of the last RecordAttempt
 }
 
 func (s *slowStore) RecordAttempt(ctx context.Context, _ store.Attempt) error {
-	s.by, _ = ctx.Deadline()
+	s.deadline, _ = ctx.Deadline()
 	select {
 	case <-ctx.Done():
 		return ctx.Err()
-	case <-time.After(s.takes):
+	case <-time.After(s.delay):
 		return nil
 	}
 }
