--- a/internal/egress/http1/call.go
+++ b/internal/egress/http1/call.go
@@ -9,20 +9,20 @@
 	"wingmount/policy"
 )
 
-// maxConnectionTries is on how many connections one attempt is sent, if each of them breaks
-// before the call is written completely.
+// maxConnectionTries limits the connections that one attempt uses if each of them breaks before
+// the call is completely written.
 const maxConnectionTries = 3
 
-// exchange is what came of sending a call on one connection.
+// exchange is the result of sending a call on one connection.
 type exchange struct {
 	response response
 	results  map[string]result // by message ID; nil unless the response has a result for each message
 	err      error
-	reused   bool // a call was made on the connection before
+	reused   bool // whether the connection carried an earlier call
 }
 
 // run makes a call and finishes each of its parts. If a connection breaks before the call is
-// written completely, the same attempt continues on another connection.
+// completely written, run sends the same attempt again on another connection.
 func (c *Carrier) run(parent context.Context, call *egress.Call) {
 	ctx, cancel := context.WithDeadline(parent, call.DecidedAt.Add(call.Limit))
 	defer cancel()
@@ -53,7 +53,7 @@
 	conn, err := c.connect(ctx, call, !first)
 	if err != nil {
 		outcome := classifyConnectError(ctx, call, err, first)
-		c.log.Debug("egress: call got no connection", "endpoint", call.Endpoint.Name, "outcome", outcome, "err", err)
+		c.log.Debug("egress: connecting for call failed", "endpoint", call.Endpoint.Name, "outcome", outcome, "err", err)
 		c.finishAll(call, result{outcome: outcome}, 0)
 		return nil, nil, false
 	}
@@ -72,9 +72,9 @@
 	return conn, req, true
 }
 
-// classifyConnectError returns the outcome of a call that got no connection. It is NotSent if
-// that is no evidence about the endpoint: this machine was out of a resource, or the deadline of
-// a message ended the first try before the endpoint had its time to respond.
+// classifyConnectError returns the outcome of a call for which no connection was made. It returns
+// NotSent if the error is not evidence of an endpoint failure: this machine was out of a resource,
+// or on the first try a message's deadline ended the call before the endpoint's response timeout.
 func classifyConnectError(ctx context.Context, call *egress.Call, err error, first bool) policy.Outcome {
 	if errors.Is(err, errLocalResources) || first && ctx.Err() != nil && call.LimitedByDeadline() {
 		return policy.NotSent
@@ -82,7 +82,8 @@
 	return policy.Unreachable
 }
 
-// begin reports whether a call may be sent now. On the first try it persists its attempts.
+// begin reports whether a call may be sent now. On the first try it also persists the call's
+// attempts.
 func (c *Carrier) begin(ctx context.Context, call *egress.Call, first bool) bool {
 	if !first {
 		return c.recorder.CheckPermitted(call, time.Now()) == nil
@@ -94,9 +95,9 @@
 	return err == nil
 }
 
-// exchangeOn makes a call on a connection. It returns the connection to the pool if it is
-// reusable and closes it otherwise, before the outcome is reported: the next call may need the
-// slot and the endpoint.
+// exchangeOn makes a call on a connection. Afterwards it returns the connection to the pool if it
+// is reusable, and closes it otherwise. This happens before run reports the outcome, because the next
+// call may need the connection slot and the endpoint.
 func (c *Carrier) exchangeOn(ctx context.Context, call *egress.Call, conn *connection, req *http.Request) exchange {
 	stop := context.AfterFunc(ctx, func() { _ = conn.Close() })
 	x := c.exchange(call, conn, req)
@@ -108,8 +109,8 @@
 	return x
 }
 
-// exchange sends a call and reads its response. A single message is delivered as soon as the
-// status line is 200, whatever follows.
+// exchange sends a call and reads its response. A single message counts as delivered as soon as
+// a status line with 200 is read, regardless of the rest of the response.
 func (c *Carrier) exchange(call *egress.Call, conn *connection, req *http.Request) exchange {
 	x := exchange{reused: conn.reused}
 	batch := len(call.Parts) > 1
@@ -130,13 +131,13 @@
 	return x
 }
 
-// finish finishes all parts of a call that was sent, and closes the endpoint's Retry-After gate
-// if the response asks for it.
+// finish finishes all parts of a call after its last exchange. It also closes the endpoint's
+// Retry-After gate if the response has a Retry-After.
 func (c *Carrier) finish(ctx context.Context, call *egress.Call, x exchange) {
 	wait := retryAfter(x.response)
 	if wait > 0 {
-		// The policy module counts the same time. A gate that opened later would stop a call
-		// that it decides on, and use up an attempt.
+		// The policy module waits for the same duration. If the gate opened later, it would stop
+		// the next call that the policy module decides on, and that would use up an attempt.
 		call.Endpoint.RetryAfterGate.CloseUntil(time.Now().Add(wait))
 	}
 	switch {
@@ -151,7 +152,7 @@
 	}
 }
 
-// finishFailed finishes all parts of a call without a valid response.
+// finishFailed finishes all parts of a call that got no valid response.
 func (c *Carrier) finishFailed(ctx context.Context, call *egress.Call, x exchange, wait time.Duration) {
 	outcome, stale := policy.Reset, false
 	switch {
@@ -165,7 +166,7 @@
 	default:
 		stale = x.reused && x.response.status == 0
 	}
-	c.log.Debug("egress: call got no valid response", "endpoint", call.Endpoint.Name, "err", x.err)
+	c.log.Debug("egress: call ended without a valid response", "endpoint", call.Endpoint.Name, "err", x.err)
 	for _, p := range call.Parts {
 		c.recorder.Finish(call, p, policy.AttemptCompleted{Outcome: outcome, RetryAfter: wait, StaleConnection: stale})
 	}
--- a/internal/egress/http1/carrier.go
+++ b/internal/egress/http1/carrier.go
@@ -1,12 +1,12 @@
-// Package http1 makes calls to endpoints over HTTP/1.1, one call at a time on a connection.
+// Package http1 makes calls to endpoints over HTTP/1.1. A connection carries one call at a time.
 //
-// A call is never sent twice by the transport: a connection belongs to its call while the call
-// is outstanding, and only a call of which not every byte was written is sent again on another
-// connection. net/http's client does not guarantee that, so only its parser is used.
+// The transport never sends a complete call twice: a connection belongs to its call while the call
+// is outstanding, and a call is sent again on another connection only if not all of its bytes were
+// written. The client of net/http does not guarantee this, so only the parser of net/http is used.
 //
 // Each call runs in its own goroutine; the carrier and its pool are safe for concurrent use.
-// Start reading at Carrier.run in call.go. Requests and responses, whose headers and bodies the
-// protocol fixes, are mapped in request.go and response.go.
+// Start reading at Carrier.run in call.go. The files request.go and response.go map calls to requests
+// and responses to results; the protocol fixes their headers and bodies.
 package http1
 
 import (
@@ -19,23 +19,24 @@
 	"wingmount/internal/egress"
 )
 
-// defaultConnectTimeout applies if Config.ConnectTimeout is 0.
+// defaultConnectTimeout is used if Config.ConnectTimeout is 0 or negative.
 const defaultConnectTimeout = time.Second
 
-// Config has the settings of a carrier.
+// Config contains the settings of a Carrier.
 type Config struct {
-	// ConnectTimeout is how long connecting may take; 1 s if 0.
+	// ConnectTimeout limits the time for connecting; 0 means 1 s.
 	ConnectTimeout time.Duration
-	// ServerIdleTimeout is when endpoints close idle connections at the latest.
+	// ServerIdleTimeout is the time after which endpoints close idle connections at the latest.
 	ServerIdleTimeout time.Duration
-	// MaxIdleConnections limits the idle connections to all endpoints together. It is raised
-	// to the limit for one endpoint.
+	// MaxIdleConnections limits the idle connections to all endpoints together. A value below
+	// the limit for one endpoint is raised to that limit.
 	MaxIdleConnections int
-	// MaxIdlePerEndpoint limits the idle connections to one endpoint; at least 8.
+	// MaxIdlePerEndpoint limits the idle connections to one endpoint. A value below 8 is raised
+	// to 8.
 	MaxIdlePerEndpoint int
 	// WithholdOrderingKeys omits the key of a message whose class is not idempotent. Such a
-	// key only orders messages within the node, and an endpoint that drops repeated keys
-	// would drop the next message of the sequence.
+	// key only orders messages within the node. An endpoint that drops messages with a repeated
+	// key would drop the next message with the same ordering key.
 	WithholdOrderingKeys bool
 }
 
@@ -48,10 +49,10 @@
 	idleTimeout          time.Duration
 	withholdOrderingKeys bool
 	running              sync.WaitGroup
-	invalidResponses     atomic.Int64 // since they were last logged
+	invalidResponses     atomic.Int64 // number since the last log message about them
 }
 
-// New returns a carrier that persists and reports the outcomes of its calls with a recorder.
+// New returns a Carrier that uses recorder to persist and report the outcomes of its calls.
 func New(config Config, recorder *egress.Recorder, log *slog.Logger) *Carrier {
 	connectTimeout := config.ConnectTimeout
 	if connectTimeout <= 0 {
@@ -63,8 +64,8 @@
 		log:      log,
 		dialer:   net.Dialer{Timeout: connectTimeout, KeepAlive: -1},
 		pool:     pool{maxIdle: max(perEndpoint, config.MaxIdleConnections), maxIdlePerEndpoint: perEndpoint},
-		// Shorter than the endpoint's own timeout: a request that meets the endpoint's close
-		// would end as a reset.
+		// Shorter than the endpoint's own timeout: a request sent while the endpoint closes the
+		// connection would end with the outcome Reset.
 		idleTimeout:          config.ServerIdleTimeout * 4 / 5,
 		withholdOrderingKeys: config.WithholdOrderingKeys,
 	}
@@ -79,17 +80,17 @@
 	}()
 }
 
-// Wait blocks until all outstanding calls have ended. Start must not be called after it.
+// Wait blocks until all outstanding calls have ended. Start must not be called after Wait.
 func (c *Carrier) Wait() { c.running.Wait() }
 
 // CloseIdle closes the idle connections to an endpoint.
 func (c *Carrier) CloseIdle(e *egress.Endpoint) { c.pool.closeIdleSince(time.Time{}, e) }
 
-// EvictIdle closes connections that were idle for too long and logs the number of invalid
-// responses. It is called about once a second.
+// EvictIdle closes connections that were idle for too long, and logs the number of invalid
+// responses since its last call. It is called about once a second.
 func (c *Carrier) EvictIdle(now time.Time) {
 	c.pool.closeIdleSince(now.Add(-c.idleTimeout), nil)
 	if n := c.invalidResponses.Swap(0); n > 0 {
-		c.log.Info("responses could not be parsed", "count", n)
+		c.log.Info("egress: received invalid responses", "count", n)
 	}
 }
--- a/internal/egress/http1/connection.go
+++ b/internal/egress/http1/connection.go
@@ -15,29 +15,29 @@
 )
 
 const (
-	// maxResponseBytes limits what is read of one response, including its headers.
+	// maxResponseBytes limits the bytes read of one response, including its headers.
 	maxResponseBytes = 64 << 10
-	// maxInterimResponses limits the 1xx responses before the final one.
+	// maxInterimResponses limits the 1xx responses before the final response.
 	maxInterimResponses = 8
-	// responseTimeout is the time from the first byte of a response to its last.
+	// responseTimeout limits the time from the first byte of a response to its last byte.
 	responseTimeout = 500 * time.Millisecond
-	// remainderTimeout is the time for the rest of a response after its status line decided
-	// the outcome.
+	// remainderTimeout limits the time for the rest of a response if its status line already
+	// determined the outcome.
 	remainderTimeout = 100 * time.Millisecond
 )
 
-// errUnsent means that not every byte of a call was written, so the call never ran.
-var errUnsent = errors.New("the call was not written whole")
+// errUnsent means that not all bytes of a call were written, so the call never ran.
+var errUnsent = errors.New("call was not completely written")
 
-// connection is a connection to an endpoint. It carries one call at a time, so that what is read
-// can only be the response to that call.
+// connection is a connection to an endpoint. It carries one call at a time, so that bytes read
+// from it can only be the response to that call.
 type connection struct {
 	net.Conn
 	endpoint  *egress.Endpoint
 	addr      string
 	idleSince time.Time
-	reused    bool          // a call was made on it before
-	element   *list.Element // in pool.all while idle
+	reused    bool          // whether it carried an earlier call
+	element   *list.Element // its element in pool.all while idle
 	readable  int64         // bytes that may still be read of the current response
 	reader    *bufio.Reader
 }
@@ -48,12 +48,13 @@
 	return c
 }
 
-// limitedReader reads from a connection up to its limit of readable bytes.
+// limitedReader reads at most connection.readable bytes from a connection, and decreases readable
+// by the bytes read.
 type limitedReader struct{ c *connection }
 
 func (r limitedReader) Read(p []byte) (int, error) {
 	if r.c.readable <= 0 {
-		return 0, fmt.Errorf("%w: longer than %d bytes", errInvalidResponse, maxResponseBytes)
+		return 0, fmt.Errorf("%w: response exceeds %d bytes", errInvalidResponse, maxResponseBytes)
 	}
 	n, err := r.c.Read(p[:min(int64(len(p)), r.c.readable)])
 	r.c.readable -= int64(n)
@@ -61,7 +62,7 @@
 }
 
 // send writes all bytes of a call. It calls checkPermitted right before the first byte, because
-// the process may have been paused since the last check. Each error wraps errUnsent.
+// the process may have been paused since the last check. All errors wrap errUnsent.
 func (c *connection) send(req *http.Request, checkPermitted func() error) error {
 	var b bytes.Buffer
 	if err := req.Write(&b); err != nil {
@@ -71,13 +72,14 @@
 		return fmt.Errorf("%w: %w", errUnsent, err)
 	}
 	if n, err := c.Write(b.Bytes()); n < b.Len() {
-		return fmt.Errorf("%w: %d of %d bytes: %w", errUnsent, n, b.Len(), err)
+		return fmt.Errorf("%w: wrote %d of %d bytes: %w", errUnsent, n, b.Len(), err)
 	}
 	return nil
 }
 
-// receive reads the response to a request. It calls onStatus as soon as the status line is read;
-// onStatus reports whether the status decides the outcome, whatever the rest of the response is.
+// receive reads the response to a request. It calls onStatus as soon as the status line of the final
+// response is read. onStatus reports whether this status determines the outcome, regardless of
+// the rest of the response.
 func (c *connection) receive(req *http.Request, onStatus func(status int) bool) (response, error) {
 	c.readable = maxResponseBytes
 	for range maxInterimResponses {
@@ -102,11 +104,11 @@
 			break
 		}
 	}
-	return response{}, fmt.Errorf("%w: no end of 1xx", errInvalidResponse)
+	return response{}, fmt.Errorf("%w: no final response after 1xx", errInvalidResponse)
 }
 
-// awaitStatus waits for the first byte of a response, for as long as the connection is open, and
-// then up to responseTimeout for its status line.
+// awaitStatus waits for the first byte of a response without a time limit, until the connection is
+// closed, and then up to responseTimeout for the status line. It returns the status code.
 func (c *connection) awaitStatus() (int, error) {
 	if err := c.SetReadDeadline(time.Time{}); err != nil {
 		return 0, err
@@ -141,17 +143,17 @@
 
 // parseStatus returns the status code of a status line such as 'HTTP/1.1 200 OK'.
 func parseStatus(line []byte) (int, error) {
-	const form = "HTTP/1.x 200"
+	const minimal = "HTTP/1.x 200"
 	digit := func(i int) bool { return line[i] >= '0' && line[i] <= '9' }
-	if len(line) < len(form) || !bytes.HasPrefix(line, []byte("HTTP/1.")) || !digit(7) || line[8] != ' ' ||
-		!digit(9) || line[9] == '0' || !digit(10) || !digit(11) || len(line) > len(form) && line[len(form)] != ' ' {
-		return 0, fmt.Errorf("%w: first line %.40q", errInvalidResponse, line)
+	if len(line) < len(minimal) || !bytes.HasPrefix(line, []byte("HTTP/1.")) || !digit(7) || line[8] != ' ' ||
+		!digit(9) || line[9] == '0' || !digit(10) || !digit(11) || len(line) > len(minimal) && line[len(minimal)] != ' ' {
+		return 0, fmt.Errorf("%w: invalid status line %.40q", errInvalidResponse, line)
 	}
 	return int(line[9]-'0')*100 + int(line[10]-'0')*10 + int(line[11]-'0'), nil
 }
 
-// readResponse reads a response whose status line was peeked. On an error the returned response
-// has what was read until then.
+// readResponse reads a response whose status line was peeked. On an error it returns the fields that
+// were read before the error.
 func (c *connection) readResponse(req *http.Request, status int) (response, error) {
 	r := response{status: status}
 	resp, err := http.ReadResponse(c.reader, req)
@@ -161,25 +163,25 @@
 	defer func() { _ = resp.Body.Close() }()
 	r.header = resp.Header
 	if resp.ContentLength > maxResponseBytes {
-		return r, fmt.Errorf("%w: of %d bytes", errInvalidResponse, resp.ContentLength)
+		return r, fmt.Errorf("%w: Content-Length is %d, want at most %d", errInvalidResponse, resp.ContentLength, maxResponseBytes)
 	}
 	if r.body, err = io.ReadAll(resp.Body); err != nil {
 		return r, classifyReadError(err)
 	}
 	surplus, _ := c.reader.Peek(c.reader.Buffered()) // can't fail
 	r.reusable = !resp.Close && len(surplus) == 0
-	// Bytes after a rejection may be a body that does not fit its length, and then the call has
-	// run. That is assumed because it is the stricter case. A second copy of the response is
-	// harmless, and so is anything after a 200.
+	// Bytes after a rejection may belong to a body longer than its Content-Length, and then the call
+	// may have run. The code assumes this stricter case. A second copy of the response is harmless,
+	// and so are any bytes after a response with status 200.
 	if status != http.StatusOK && len(surplus) > 0 && !bytes.HasPrefix(surplus, []byte("HTTP/1.")) {
-		return r, fmt.Errorf("%w: %d bytes behind it", errInvalidResponse, len(surplus))
+		return r, fmt.Errorf("%w: %d surplus bytes after the response", errInvalidResponse, len(surplus))
 	}
 	return r, nil
 }
 
-// classifyReadError returns errors of a broken connection unchanged. It wraps all others in
-// errInvalidResponse: a response that can't be parsed, or that stopped while its connection
-// stayed open.
+// classifyReadError returns errors of a broken connection unchanged. It wraps all other errors in
+// errInvalidResponse: the response can't be parsed, or it stopped before its end while the
+// connection stayed open.
 func classifyReadError(err error) error {
 	var netErr net.Error
 	var opErr *net.OpError
@@ -187,15 +189,15 @@
 	case errors.Is(err, errInvalidResponse):
 		return err
 	case errors.As(err, &netErr) && netErr.Timeout():
-		return fmt.Errorf("%w: it does not end", errInvalidResponse)
+		return fmt.Errorf("%w: timed out before its end", errInvalidResponse)
 	case errors.As(err, &opErr), errors.Is(err, io.EOF), errors.Is(err, io.ErrUnexpectedEOF):
 		return err
 	}
 	return fmt.Errorf("%w: %w", errInvalidResponse, err)
 }
 
-// isReusable reports whether the connection is open and nothing was received on it since the
-// last response. Such bytes would be read as the response to the next call.
+// isReusable reports whether the connection is open and no bytes were received on it since the
+// last response. Any such bytes would be read as the response to the next call.
 func (c *connection) isReusable() bool {
 	tcp, ok := c.Conn.(*net.TCPConn)
 	if !ok || c.reader.Buffered() > 0 {
--- a/internal/egress/http1/dial.go
+++ b/internal/egress/http1/dial.go
@@ -9,23 +9,24 @@
 	"wingmount/internal/egress"
 )
 
-// exhaustedRetryDelay is the delay between two attempts to connect while this machine is out of
+// exhaustedRetryDelay is the delay between two attempts to connect while this machine has no free
 // descriptors, ports or memory.
 const exhaustedRetryDelay = 20 * time.Millisecond
 
 // errLocalResources means that this machine was out of a resource while a call was connecting,
-// and that the call's time ended before a connection was made.
-var errLocalResources = errors.New("this machine is short of what a connection needs")
+// and that the call's context ended before a connection was made.
+var errLocalResources = errors.New("local resources for a connection are exhausted")
 
-// connect returns an idle connection to the call's endpoint, or a new one if there is none or
-// fresh is set.
+// connect returns an idle connection to the call's endpoint. If there is none, or if fresh is set,
+// it returns a new connection. While this machine is out of a resource, connect retries until ctx
+// ends, and then returns errLocalResources.
 func (c *Carrier) connect(ctx context.Context, call *egress.Call, fresh bool) (*connection, error) {
 	if !fresh {
 		if conn := c.pool.get(call.Endpoint, call.Addr, time.Now().Add(-c.idleTimeout)); conn != nil {
 			return conn, nil
 		}
 	}
-	exhausted := false // in an earlier attempt of this call
+	exhausted := false // whether an earlier dial for this call failed for lack of a local resource
 	for {
 		conn, err := c.dialer.DialContext(ctx, "tcp", call.Addr)
 		switch {
@@ -36,7 +37,7 @@
 		case exhausted && hasEnded(ctx):
 			return nil, fmt.Errorf("%w: %w", errLocalResources, err)
 		default:
-			return nil, fmt.Errorf("connecting: %w", err)
+			return nil, fmt.Errorf("connecting to %s: %w", call.Addr, err)
 		}
 		c.pool.closeOldest() // frees a descriptor
 		select {
@@ -55,7 +56,7 @@
 }
 
 // isLocalExhaustion reports whether connecting failed because this machine is out of a
-// resource. Such an error is no evidence about the endpoint.
+// resource. Such an error is not evidence of an endpoint failure.
 func isLocalExhaustion(err error) bool {
 	for _, e := range []syscall.Errno{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL} {
 		if errors.Is(err, e) {
--- a/internal/egress/http1/pool.go
+++ b/internal/egress/http1/pool.go
@@ -8,7 +8,7 @@
 	"wingmount/internal/egress"
 )
 
-// minIdlePerEndpoint is the smallest limit of idle connections to one endpoint.
+// minIdlePerEndpoint is the smallest value for pool.maxIdlePerEndpoint.
 const minIdlePerEndpoint = 8
 
 // pool caches the idle connections to all endpoints. It is safe for concurrent use.
@@ -16,13 +16,13 @@
 	maxIdle, maxIdlePerEndpoint int
 
 	mu         sync.Mutex
-	byEndpoint map[*egress.Endpoint][]*connection // the longest idle first
-	all        list.List                          // of *connection, the longest idle first
+	byEndpoint map[*egress.Endpoint][]*connection // sorted, longest idle first
+	all        list.List                          // of *connection, sorted, longest idle first
 }
 
-// get removes and returns the most recently used connection to an endpoint, or nil if there is
-// none. It closes connections that are not reusable, lead to another address, or became idle
-// at or before idleAfter.
+// get removes and returns the most recently used valid connection to an endpoint, or nil if there
+// is none. A connection is valid if it is reusable, has the address addr and became idle after
+// idleAfter. get closes the invalid connections that it finds first.
 func (p *pool) get(e *egress.Endpoint, addr string, idleAfter time.Time) *connection {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -38,8 +38,9 @@
 	return nil
 }
 
-// put adds a connection. If that exceeds a limit, it closes the longest idle connection of the
-// endpoint or of all endpoints.
+// put adds an idle connection. If the endpoint then exceeds its limit, put closes the endpoint's
+// longest idle connection. Otherwise, if the pool exceeds its limit, put closes the longest idle
+// connection of all endpoints.
 func (p *pool) put(c *connection) {
 	if err := c.SetReadDeadline(time.Time{}); err != nil {
 		_ = c.Close()
@@ -71,8 +72,8 @@
 	}
 }
 
-// closeIdleSince closes the connections that became idle at or before the given time, those
-// that are not reusable, and all connections to an endpoint unless it is nil.
+// closeIdleSince closes the idle connections that became idle at or before the given time or are
+// not reusable. If endpoint is not nil, it also closes all idle connections to that endpoint.
 func (p *pool) closeIdleSince(before time.Time, endpoint *egress.Endpoint) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -85,14 +86,14 @@
 	}
 }
 
-// discard removes and closes an idle connection. The caller holds mu.
+// discard removes and closes an idle connection. The caller must hold mu.
 func (p *pool) discard(c *connection) {
 	p.remove(c)
 	_ = c.Close()
 }
 
-// remove removes an idle connection. The caller holds mu. It searches from the end because get
-// removes the most recently used one.
+// remove removes an idle connection. The caller must hold mu. The search starts at the end because
+// get removes the most recently used connection.
 func (p *pool) remove(c *connection) {
 	p.all.Remove(c.element)
 	idle := p.byEndpoint[c.endpoint]
--- a/internal/egress/http1/request.go
+++ b/internal/egress/http1/request.go
@@ -17,7 +17,7 @@
 	timeoutHeader        = "X-Timeout-Ms"
 	requestIDHeader      = "X-Request-ID"
 	idempotencyKeyHeader = "Idempotency-Key"
-	noKey                = "-" // in place of a key in a batch
+	noKey                = "-" // replaces the key of a message without a key in a batch
 )
 
 // newRequest returns the HTTP request for a call.
@@ -45,8 +45,8 @@
 	return req, nil
 }
 
-// batchBody returns the body of a batch: for each message a line with its ID, key and length in
-// bytes, then the message itself.
+// batchBody returns the body of a batch. For each message it contains a line with the message's ID,
+// key and body length in bytes, followed by the message's body.
 func (c *Carrier) batchBody(parts []*egress.Part) []byte {
 	var b bytes.Buffer
 	for _, p := range parts {
@@ -61,7 +61,7 @@
 	return b.Bytes()
 }
 
-// key returns the key that is sent with a message, empty if none is. See
+// key returns the key to send with a message, or "" if no key is to be sent. See
 // [Config.WithholdOrderingKeys].
 func (c *Carrier) key(m *message.Message) string {
 	if c.withholdOrderingKeys && m.KeyWindow == 0 {
--- a/internal/egress/http1/response.go
+++ b/internal/egress/http1/response.go
@@ -17,24 +17,24 @@
 	egressFullHeader = "X-Egress-Full" // "1" if the response is from a full egress, not the endpoint
 )
 
-// errInvalidResponse means that a response can't be parsed or does not end. The call may have run.
-var errInvalidResponse = errors.New("spoilt answer")
+// errInvalidResponse means that a response can't be parsed or is incomplete. The call may have run.
+var errInvalidResponse = errors.New("invalid response")
 
 // response is an endpoint's response to a call.
 type response struct {
 	status   int // 0 if the status line was not read
 	header   http.Header
 	body     []byte
-	reusable bool // the connection may be used for another call
+	reusable bool // whether the connection may be used for another call
 }
 
-// result is the result of one message: its outcome, and whether it must not be retried.
+// result is the result of one message: its outcome and whether the message must not be retried.
 type result struct {
 	outcome policy.Outcome
 	final   bool
 }
 
-// classifyStatus returns the result of a single message, or of all messages of a batch without
+// classifyStatus derives the result of a single message, or of all messages of a batch without
 // separate results, from the status of the response.
 func (c *Carrier) classifyStatus(call *egress.Call, r response) result {
 	switch r.status {
@@ -54,12 +54,12 @@
 	case http.StatusInternalServerError:
 		return result{outcome: policy.Failed}
 	}
-	c.log.Debug("call got an unknown status", "endpoint", call.Endpoint.Name, "status", r.status)
+	c.log.Debug("egress: response has unknown status", "endpoint", call.Endpoint.Name, "status", r.status)
 	return result{outcome: policy.Failed}
 }
 
-// retryAfter returns the Retry-After of a response. It returns 0 if there is none, if it can't
-// be parsed, and if it is negative or above [carrier.MaxRetryAfter].
+// retryAfter returns the Retry-After of a response. It returns 0 if the header is missing, can't be
+// parsed, is negative or exceeds [egress.MaxRetryAfter].
 func retryAfter(r response) time.Duration {
 	ms, err := strconv.ParseInt(r.header.Get(retryAfterHeader), 10, 64)
 	if err != nil || ms < 0 || ms > egress.MaxRetryAfter.Milliseconds() {
@@ -68,7 +68,8 @@
 	return time.Duration(ms) * time.Millisecond
 }
 
-// batchResults maps the words in the response to a batch, fixed by the protocol, to results.
+// batchResults maps the result words in the response to a batch to results. The protocol fixes
+// these words.
 var batchResults = map[string]result{
 	"done":    {outcome: policy.Delivered},
 	"failed":  {outcome: policy.Failed},
@@ -77,22 +78,22 @@
 	"used_up": {outcome: policy.NotSent},
 }
 
-// parseBatchResults parses the results of the messages of a batch, by message ID. It returns
-// errInvalidResponse for a truncated list, an unknown word, and an ID that is repeated, missing
-// or not in the batch: a list with one error is not trusted for any message.
+// parseBatchResults parses the results of a batch and returns them by message ID. It returns
+// errInvalidResponse for a truncated list, an unknown word, or an ID that is repeated, missing or
+// not in the batch: if a list has one error, none of its results is trusted.
 func parseBatchResults(body []byte, parts []*egress.Part) (map[string]result, error) {
 	results := map[string]result{}
 	for line := range strings.Lines(string(body)) {
 		id, word, _ := strings.Cut(strings.TrimSpace(line), " ")
 		r, known := batchResults[word]
 		if _, repeated := results[id]; !known || repeated {
-			return nil, fmt.Errorf("%w: line %.80q", errInvalidResponse, line)
+			return nil, fmt.Errorf("%w: unknown result or repeated ID in line %.80q", errInvalidResponse, line)
 		}
 		results[id] = r
 	}
 	for _, p := range parts {
 		if _, ok := results[p.Message.ID]; !ok || len(results) != len(parts) {
-			return nil, fmt.Errorf("%w: %d lines for %d messages", errInvalidResponse, len(results), len(parts))
+			return nil, fmt.Errorf("%w: IDs of %d results do not match those of %d messages", errInvalidResponse, len(results), len(parts))
 		}
 	}
 	return results, nil
