--- a/internal/egress/http1/connection_test.go
+++ b/internal/egress/http1/connection_test.go
@@ -13,9 +13,9 @@
 	"wingmount/policy"
 )
 
-// http.Transport repeats a request with an Idempotency-Key when a cached connection turns out to
-// be closed. That copy would not be persisted as an attempt, so calls must never do that.
-func TestCallIsNeverRepeatedByTheTransport(t *testing.T) {
+// http.Transport repeats a request with an Idempotency-Key if a cached connection has been closed.
+// Such a copy would not be persisted as an attempt, so a Carrier must never send one.
+func TestCallOnClosedCachedConnectionIsNotRepeated(t *testing.T) {
 	var copies atomic.Int64
 	addr := rawServer(t, func(n int64, conn net.Conn) {
 		defer func() { _ = conn.Close() }()
@@ -31,17 +31,17 @@
 			_, _ = fmt.Fprint(conn, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 		}
 	})
-	r := newCallFixture(t, addr)
-	r.start(5*time.Second, 1)
-	if e := r.next(); e.Outcome != policy.Delivered {
+	f := newCallFixture(t, addr)
+	f.start(5*time.Second, 1)
+	if e := f.next(); e.Outcome != policy.Delivered {
 		t.Fatalf("first call: got %+v, want it delivered", e)
 	}
-	r.caller.running.Wait()
-	r.start(5*time.Second, 1)
-	if e := r.next(); e.Outcome != policy.Reset || !e.StaleConnection {
-		t.Errorf("got %+v for a call cut off on a cached connection, want a stale reset", e)
+	f.carrier.running.Wait()
+	f.start(5*time.Second, 1)
+	if e := f.next(); e.Outcome != policy.Reset || !e.StaleConnection {
+		t.Errorf("got %+v for a call on a cached connection closed without a response, want a stale reset", e)
 	}
-	r.caller.running.Wait()
+	f.carrier.running.Wait()
 	if n := copies.Load(); n != 2 {
 		t.Errorf("got %d requests, want 2 for 2 calls", n)
 	}
@@ -54,14 +54,14 @@
 func (discardingStore) RecordOutcome(context.Context, store.Outcome) error { return nil }
 
 // If a connection breaks before the last byte of a call is written, the same attempt continues on a
-// new connection. If a new connection breaks after it, the call may have run, and the reset is
-// evidence about the endpoint.
+// new connection. If a new connection breaks after the last byte, the call may have run, and the
+// reset is evidence of an endpoint failure.
 func TestUnsentCallContinuesOnAnotherConnection(t *testing.T) {
 	var complete atomic.Int64
 	addr := rawServer(t, func(n int64, conn net.Conn) {
 		defer func() { _ = conn.Close() }()
 		if n == 1 {
-			testkit.Must(t, conn.(*net.TCPConn).SetLinger(0)) // a reset, with most of the call unread
+			testkit.Must(t, conn.(*net.TCPConn).SetLinger(0)) // sends a reset while most of the call is unread
 			_, _ = conn.Read(make([]byte, 100))
 			return
 		}
@@ -69,29 +69,29 @@
 			_, _ = fmt.Fprint(conn, "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n")
 		}
 	})
-	r := newCallFixture(t, addr)
-	original := r.caller.recorder.Store
-	r.caller.recorder.Store = discardingStore{}
-	m := newMessage("large", 32<<20) // more than the buffers between the two hold
-	r.call(testTimeout, m)
-	if e := r.next(); e.Outcome != policy.Delivered || complete.Load() != 1 {
-		t.Errorf("got outcome %+v with %d complete requests, want it delivered by one", e, complete.Load())
+	f := newCallFixture(t, addr)
+	original := f.carrier.recorder.Store
+	f.carrier.recorder.Store = discardingStore{}
+	m := newMessage("large", 32<<20) // larger than the socket buffers between client and server
+	f.call(testTimeout, m)
+	if e := f.next(); e.Outcome != policy.Delivered || complete.Load() != 1 {
+		t.Errorf("got outcome %+v with %d complete requests, want a delivery with 1 request", e, complete.Load())
 	}
-	r.caller.running.Wait()
-	r.caller.recorder.Store = original
-	r.start(testTimeout, 1)
-	if e := r.next(); e.Outcome != policy.Reset || e.StaleConnection {
-		t.Errorf("got %+v of a new connection that broke after the call, want a reset that is not stale", e)
+	f.carrier.running.Wait()
+	f.carrier.recorder.Store = original
+	f.start(testTimeout, 1)
+	if e := f.next(); e.Outcome != policy.Reset || e.StaleConnection {
+		t.Errorf("got %+v for a new connection that broke after the call was written, want a reset that is not stale", e)
 	}
 }
 
-// A second copy of a response must not be read as the response to the next call, whether it
-// arrives with the first or later.
-func TestSurplusIsNoResponse(t *testing.T) {
+// A second copy of a response must not be read as the response to the next call, whether the copy
+// arrives together with the first response or later.
+func TestSurplusBytesAreNotReadAsNextResponse(t *testing.T) {
 	const good = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
-	for name, later := range map[string]bool{"at once": false, "later": true} {
+	for name, later := range map[string]bool{"together": false, "later": true} {
 		t.Run(name, func(t *testing.T) {
-			said := make(chan struct{})
+			sendCopy := make(chan struct{})
 			addr := rawServer(t, func(n int64, conn net.Conn) {
 				defer func() { _ = conn.Close() }()
 				r := bufio.NewReader(conn)
@@ -103,27 +103,27 @@
 					_, _ = fmt.Fprint(conn, "HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n")
 				case later:
 					_, _ = fmt.Fprint(conn, good)
-					<-said
+					<-sendCopy
 					_, _ = fmt.Fprint(conn, good)
-					said <- struct{}{}
+					sendCopy <- struct{}{}
 				default:
 					_, _ = fmt.Fprint(conn, good, good)
 				}
-				_ = readRequest(r) // stays open
+				_ = readRequest(r) // keeps the connection open
 			})
-			r := newCallFixture(t, addr)
-			r.start(testTimeout, 1)
-			if e := r.next(); e.Outcome != policy.Delivered {
+			f := newCallFixture(t, addr)
+			f.start(testTimeout, 1)
+			if e := f.next(); e.Outcome != policy.Delivered {
 				t.Fatalf("first call: got %+v, want it delivered", e)
 			}
-			r.caller.running.Wait()
+			f.carrier.running.Wait()
 			if later {
-				said <- struct{}{}
-				<-said
+				sendCopy <- struct{}{}
+				<-sendCopy // the copy was sent
 			}
-			r.start(testTimeout, 1)
-			if e := r.next(); e.Outcome != policy.Failed {
-				t.Errorf("got %v for the second call, want the failure that its own response says", e.Outcome)
+			f.start(testTimeout, 1)
+			if e := f.next(); e.Outcome != policy.Failed {
+				t.Errorf("got %v for the second call, want the failure from its own response", e.Outcome)
 			}
 		})
 	}
--- a/internal/egress/http1/dial_test.go
+++ b/internal/egress/http1/dial_test.go
@@ -20,9 +20,9 @@
 	testkit.Must(t, err)
 	addr := l.Addr().String()
 	testkit.Must(t, l.Close())
-	r := newCallFixture(t, addr)
-	m := r.start(5*time.Second, 1)[0]
-	if e := r.next(); e.Outcome != policy.Unreachable {
+	f := newCallFixture(t, addr)
+	m := f.start(5*time.Second, 1)[0]
+	if e := f.next(); e.Outcome != policy.Unreachable {
 		t.Errorf("got outcome %v, want unreachable", e.Outcome)
 	}
 	if m.History.MayHaveRun || m.History.Attempts != 0 {
@@ -30,17 +30,17 @@
 	}
 }
 
-// blockDials blocks all connection attempts until their context ends.
-func (r *callFixture) blockDials() {
-	r.caller.dialer.ControlContext = func(ctx context.Context, _, _ string, _ syscall.RawConn) error {
+// blockDials makes all connection attempts block until their context is done.
+func (f *callFixture) blockDials() {
+	f.carrier.dialer.ControlContext = func(ctx context.Context, _, _ string, _ syscall.RawConn) error {
 		<-ctx.Done()
 		return ctx.Err()
 	}
 }
 
-// Failing to connect within the limit of a call is evidence of an outage. If a message's deadline
-// ended the call, it is none. Neither call ran.
-func TestConnectTimeoutOutcome(t *testing.T) {
+// Failing to connect within the limit of a call is evidence of an endpoint outage. If the deadline of a
+// message ended the call, the failure is not evidence of an outage. In both cases the call never ran.
+func TestConnectTimeoutIsUnreachableUnlessDeadlineEndsCall(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		left time.Duration // until the deadline of the message
@@ -50,32 +50,32 @@
 		{"deadline of the message", 60 * time.Millisecond, policy.NotSent},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			r := newCallFixture(t, "127.0.0.1:1")
-			r.blockDials()
+			f := newCallFixture(t, "127.0.0.1:1")
+			f.blockDials()
 			m := newMessage("a", 20)
 			m.Deadline = time.Now().Add(c.left)
-			testkit.Must(t, r.store.Accept(t.Context(), m))
-			r.call(50*time.Millisecond, m)
-			if e := r.next(); e.Outcome != c.want || e.Final || m.History.MayHaveRun {
-				t.Errorf("got %+v, history %+v, want %v of a call that never ran", e, m.History, c.want)
+			testkit.Must(t, f.store.Accept(t.Context(), m))
+			f.call(50*time.Millisecond, m)
+			if e := f.next(); e.Outcome != c.want || e.Final || m.History.MayHaveRun {
+				t.Errorf("got %+v, history %+v, want %v for a call that never ran", e, m.History, c.want)
 			}
 		})
 	}
 }
 
-// Running out of descriptors is no evidence of an outage of the endpoint: the call retries within
+// A lack of descriptors is not evidence of an endpoint outage: the call retries to connect within
 // its limit and closes idle connections to free descriptors.
-func TestLocalExhaustionIsNoOutage(t *testing.T) {
+func TestLocalExhaustionRetriesThenIsNotSent(t *testing.T) {
 	addr := rawServer(t, func(_ int64, conn net.Conn) {
 		defer func() { _ = conn.Close() }()
 		if readRequest(bufio.NewReader(conn)) == nil {
 			_, _ = fmt.Fprint(conn, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 		}
 	})
-	r := newCallFixture(t, addr)
-	// Fails as the system does when the process has no descriptor left.
+	f := newCallFixture(t, addr)
+	// Fails with the error of a process that has no descriptor left.
 	var exhausted atomic.Int64
-	r.caller.dialer.ControlContext = func(context.Context, string, string, syscall.RawConn) error {
+	f.carrier.dialer.ControlContext = func(context.Context, string, string, syscall.RawConn) error {
 		if exhausted.Add(-1) >= 0 {
 			return syscall.EMFILE
 		}
@@ -83,28 +83,29 @@
 	}
 	idle, err := net.Dial("tcp", addr)
 	testkit.Must(t, err)
-	r.caller.pool.put(newConnection(idle, &egress.Endpoint{ID: 2}, addr))
-	testkit.Must(t, idle.SetReadDeadline(time.Now().Add(testTimeout))) // ends the test if it is not closed
+	f.carrier.pool.put(newConnection(idle, &egress.Endpoint{ID: 2}, addr))
+	testkit.Must(t, idle.SetReadDeadline(time.Now().Add(testTimeout))) // limits the read below if the connection is not closed
 	exhausted.Store(2)
-	r.start(testTimeout, 1)
-	if e := r.next(); e.Outcome != policy.Delivered {
-		t.Errorf("after two failed tries: got %+v, want it delivered", e)
+	f.start(testTimeout, 1)
+	if e := f.next(); e.Outcome != policy.Delivered {
+		t.Errorf("after two failed attempts to connect: got %+v, want it delivered", e)
 	}
 	if n, err := idle.Read(make([]byte, 1)); !errors.Is(err, net.ErrClosed) {
 		t.Errorf("got %d bytes, %v from the idle connection, want it closed", n, err)
 	}
-	r.caller.running.Wait()
-	r.caller.pool.closeIdleSince(time.Now(), nil)
+	f.carrier.running.Wait()
+	f.carrier.pool.closeIdleSince(time.Now(), nil)
 	exhausted.Store(1 << 30)
-	m := r.start(100*time.Millisecond, 1)[0]
-	if e := r.next(); e.Outcome != policy.NotSent || e.Final || m.History.MayHaveRun {
-		t.Errorf("exhausted until the end: got %+v, history %+v, want a call that was not sent", e, m.History)
+	m := f.start(100*time.Millisecond, 1)[0]
+	if e := f.next(); e.Outcome != policy.NotSent || e.Final || m.History.MayHaveRun {
+		t.Errorf("exhausted until the limit of the call: got %+v, history %+v, want a call that was not sent", e, m.History)
 	}
 }
 
-// A shortage of this machine does not count as the endpoint's failure if the call's time ends in a later
-// attempt to connect. An endpoint that fails in its own time is unreachable, shortage or not.
-func TestOutcomeOfDialAfterLocalExhaustion(t *testing.T) {
+// If this machine was out of a resource and the call's limit ends a later attempt to connect, the failure does
+// not count as the endpoint's. If the endpoint refuses the connection or exceeds the connect timeout, it is
+// unreachable, even after a lack of resources.
+func TestDialAfterLocalExhaustionIsNotSentIfLimitEnds(t *testing.T) {
 	const limit = 100 * time.Millisecond
 	untilEnd := func(ctx context.Context) error {
 		<-ctx.Done()
@@ -112,7 +113,7 @@
 	}
 	for _, c := range []struct {
 		name           string
-		shortages      int64 // attempts that fail for want of a descriptor, before later does
+		shortages      int64 // number of attempts that fail for lack of a descriptor before later is called
 		later          func(context.Context) error
 		limit          time.Duration
 		connectTimeout time.Duration
@@ -125,18 +126,18 @@
 		{"connect timeout after a shortage", 1, untilEnd, testTimeout, limit, policy.Unreachable},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			r := newCallFixture(t, "127.0.0.1:1")
+			f := newCallFixture(t, "127.0.0.1:1")
 			var attempts atomic.Int64
-			r.caller.dialer.Timeout = c.connectTimeout
-			r.caller.dialer.ControlContext = func(ctx context.Context, _, _ string, _ syscall.RawConn) error {
+			f.carrier.dialer.Timeout = c.connectTimeout
+			f.carrier.dialer.ControlContext = func(ctx context.Context, _, _ string, _ syscall.RawConn) error {
 				if attempts.Add(1) <= c.shortages {
 					return syscall.EMFILE
 				}
 				return c.later(ctx)
 			}
-			m := r.start(c.limit, 1)[0]
-			if e := r.next(); e.Outcome != c.want || e.Final || m.History.MayHaveRun {
-				t.Errorf("got %+v, history %+v, want outcome %v of a call that never ran", e, m.History, c.want)
+			m := f.start(c.limit, 1)[0]
+			if e := f.next(); e.Outcome != c.want || e.Final || m.History.MayHaveRun {
+				t.Errorf("got %+v, history %+v, want outcome %v for a call that never ran", e, m.History, c.want)
 			}
 			if got := attempts.Load(); got != c.shortages+1 {
 				t.Errorf("got %d attempts to connect, want %d", got, c.shortages+1)
@@ -145,7 +146,7 @@
 	}
 }
 
-// lateContext is a context whose timer has not fired, however long its deadline has passed.
+// lateContext is a context whose timer never fires, even after its deadline.
 type lateContext struct {
 	context.Context
 	deadline time.Time
@@ -153,16 +154,17 @@
 
 func (c lateContext) Deadline() (time.Time, bool) { return c.deadline, true }
 
-// The dialer gives up at the deadline of a call even if the timer of its context is late.
-func TestLocalExhaustionUntilLateTimer(t *testing.T) {
-	r := newCallFixture(t, "127.0.0.1:1")
-	r.caller.dialer.ControlContext = func(context.Context, string, string, syscall.RawConn) error { return syscall.EMFILE }
+// The dialer stops at the deadline of a call even if the timer of the call's context has not fired. connect
+// must still return errLocalResources then.
+func TestLocalExhaustionEndsAtDeadlineBeforeTimer(t *testing.T) {
+	f := newCallFixture(t, "127.0.0.1:1")
+	f.carrier.dialer.ControlContext = func(context.Context, string, string, syscall.RawConn) error { return syscall.EMFILE }
 	ctx := lateContext{context.Background(), time.Now().Add(2 * exhaustedRetryDelay)}
-	_, err := r.caller.connect(ctx, &egress.Call{Endpoint: r.endpoint, Addr: r.addr}, true)
+	_, err := f.carrier.connect(ctx, &egress.Call{Endpoint: f.endpoint, Addr: f.addr}, true)
 	if !errors.Is(err, errLocalResources) || ctx.Err() != nil {
 		t.Errorf("got %v, context error %v, want errLocalResources before the context's timer", err, ctx.Err())
 	}
 	if time.Now().Before(ctx.deadline) {
-		t.Error("got an error before the deadline")
+		t.Error("got an error before the deadline, want it at or after the deadline")
 	}
 }
--- a/internal/egress/http1/fixture_test.go
+++ b/internal/egress/http1/fixture_test.go
@@ -18,7 +18,7 @@
 	"wingmount/policy"
 )
 
-// testTimeout is how long a test waits for something that has to happen.
+// testTimeout limits how long a test waits for an expected event.
 const testTimeout = 10 * time.Second
 
 // newMessage returns a message with a body of zeros.
@@ -29,7 +29,7 @@
 // callFixture makes calls to one address and collects their outcomes.
 type callFixture struct {
 	t        *testing.T
-	caller   *Carrier
+	carrier  *Carrier
 	endpoint *egress.Endpoint
 	addr     string
 	outcomes chan policy.AttemptCompleted
@@ -39,54 +39,55 @@
 
 func newCallFixture(t *testing.T, addr string) *callFixture {
 	t.Helper()
-	r := &callFixture{t: t, addr: addr, outcomes: make(chan policy.AttemptCompleted, 16)}
+	f := &callFixture{t: t, addr: addr, outcomes: make(chan policy.AttemptCompleted, 16)}
 	j, _, err := journal.Open(journal.Config{Dir: t.TempDir(), MaxBytes: journal.MinDisk}, testkit.QuietLog())
 	testkit.Must(t, err)
 	t.Cleanup(func() { _ = j.Close() })
-	r.store = j
-	record := &egress.Recorder{Store: j, Log: testkit.QuietLog(), OnOutcome: func(e policy.AttemptCompleted, _ error) { r.outcomes <- e }}
-	r.caller = New(Config{ConnectTimeout: time.Second, ServerIdleTimeout: 15 * time.Second}, record, testkit.QuietLog())
-	r.endpoint = &egress.Endpoint{ID: 1, Name: "e1", RetryAfterGate: &egress.Gate{}}
-	t.Cleanup(func() { r.caller.running.Wait() })
-	return r
+	f.store = j
+	recorder := &egress.Recorder{Store: j, Log: testkit.QuietLog(), OnOutcome: func(e policy.AttemptCompleted, _ error) { f.outcomes <- e }}
+	f.carrier = New(Config{ConnectTimeout: time.Second, ServerIdleTimeout: 15 * time.Second}, recorder, testkit.QuietLog())
+	f.endpoint = &egress.Endpoint{ID: 1, Name: "e1", RetryAfterGate: &egress.Gate{}}
+	t.Cleanup(func() { f.carrier.running.Wait() })
+	return f
 }
 
-// call starts a call with messages that are in the store.
-func (r *callFixture) call(limit time.Duration, ms ...*message.Message) {
-	k := &egress.Call{Endpoint: r.endpoint, Addr: r.addr, DecidedAt: time.Now(), Limit: limit}
+// call starts a call with messages that the store has already accepted.
+func (f *callFixture) call(limit time.Duration, ms ...*message.Message) {
+	c := &egress.Call{Endpoint: f.endpoint, Addr: f.addr, DecidedAt: time.Now(), Limit: limit}
 	for _, m := range ms {
-		k.Add(m, limit)
+		c.Add(m, limit)
 	}
-	r.caller.Start(context.Background(), k)
+	f.carrier.Start(context.Background(), c)
 }
 
-// start accepts n messages and starts a call with them.
-func (r *callFixture) start(limit time.Duration, n int) []*message.Message {
-	r.t.Helper()
+// start adds n messages to the store and starts a call with them.
+func (f *callFixture) start(limit time.Duration, n int) []*message.Message {
+	f.t.Helper()
 	var messages []*message.Message
 	for range n {
-		r.seq++
-		m := newMessage(fmt.Sprint("id", r.seq), 20)
-		testkit.Must(r.t, r.store.Accept(r.t.Context(), m))
+		f.seq++
+		m := newMessage(fmt.Sprint("id", f.seq), 20)
+		testkit.Must(f.t, f.store.Accept(f.t.Context(), m))
 		messages = append(messages, m)
 	}
-	r.call(limit, messages...)
+	f.call(limit, messages...)
 	return messages
 }
 
-// next returns the next outcome.
-func (r *callFixture) next() policy.AttemptCompleted {
-	r.t.Helper()
+// next waits for the next outcome and returns it.
+func (f *callFixture) next() policy.AttemptCompleted {
+	f.t.Helper()
 	select {
-	case e := <-r.outcomes:
+	case e := <-f.outcomes:
 		return e
 	case <-time.After(testTimeout):
-		r.t.Fatal("got no outcome, want one")
+		f.t.Fatal("got no outcome, want one")
 		return policy.AttemptCompleted{}
 	}
 }
 
-// rawServer calls serve for each connection, with its number from 1.
+// rawServer starts a TCP server and returns its address. It calls serve in a new goroutine for each
+// connection, with the connection's number, from 1.
 func rawServer(t *testing.T, serve func(n int64, conn net.Conn)) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -105,7 +106,7 @@
 	return l.Addr().String()
 }
 
-// readRequest reads a request with its body.
+// readRequest reads and discards a request with its body.
 func readRequest(r *bufio.Reader) error {
 	req, err := http.ReadRequest(r)
 	if err != nil {
--- a/internal/egress/http1/golden_test.go
+++ b/internal/egress/http1/golden_test.go
@@ -16,16 +16,16 @@
 	"wingmount/policy"
 )
 
-// changing matches the headers that differ between calls: the remaining time and the address.
-var changing = regexp.MustCompile(`(?m)^(X-Timeout-Ms|Host): .*?\r$`)
+// variableHeaders matches the headers that differ between calls: the remaining time and the address.
+var variableHeaders = regexp.MustCompile(`(?m)^(X-Timeout-Ms|Host): .*?\r$`)
 
-// goldenMessage is a message whose fields all go into a call.
+// goldenMessage returns a message with the fields that a request contains.
 func goldenMessage(id, key, body string, window time.Duration) *message.Message {
 	return &message.Message{ID: id, Key: key, Destination: 7, Deadline: time.Now().Add(time.Minute), Body: []byte(body), KeyWindow: window}
 }
 
-// The bytes of a request are fixed: method, path, headers in their order, body.
-func TestGoldenCalls(t *testing.T) {
+// The protocol fixes the bytes of a request: method, path, headers and their order, and body.
+func TestGoldenRequestBytes(t *testing.T) {
 	for name, c := range map[string]struct {
 		withholdOrderingKeys bool
 		messages             []*message.Message
@@ -48,16 +48,16 @@
 				}
 				_, _ = io.WriteString(conn, "HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n")
 			})
-			r := newCallFixture(t, addr)
-			r.caller.withholdOrderingKeys = c.withholdOrderingKeys
+			f := newCallFixture(t, addr)
+			f.carrier.withholdOrderingKeys = c.withholdOrderingKeys
 			for _, m := range c.messages {
-				testkit.Must(t, r.store.Accept(context.Background(), m))
+				testkit.Must(t, f.store.Accept(context.Background(), m))
 			}
-			r.call(testTimeout, c.messages...)
+			f.call(testTimeout, c.messages...)
 			for range c.messages {
-				r.next()
+				f.next()
 			}
-			got := changing.ReplaceAll(<-sent, []byte("$1: changing\r"))
+			got := variableHeaders.ReplaceAll(<-sent, []byte("$1: changing\r"))
 			testkit.Golden(t, "golden/"+name+".request", got)
 			req, err := http.ReadRequest(bufio.NewReader(bytes.NewReader(testkit.ReadGolden(t, "golden/"+name+".request"))))
 			testkit.Must(t, err)
@@ -68,28 +68,28 @@
 	}
 }
 
-// The meaning of each response is fixed by the protocol.
-func TestGoldenResponses(t *testing.T) {
-	const wait = 250 * time.Millisecond
+// The protocol fixes the outcome for each response.
+func TestGoldenResponseOutcomes(t *testing.T) {
+	const retryAfter = 250 * time.Millisecond
 	for _, c := range []struct {
 		name, response string
 		parts          int
 		want           []policy.AttemptCompleted // in the order of the messages
 	}{
 		{"200", "200 X\r\nContent-Length: 0\r\n\r\n", 1, []policy.AttemptCompleted{{Outcome: policy.Delivered, Final: true}}},
-		{"429 with a wait", "429 X\r\nX-Backoff-Ms: 250\r\nContent-Length: 0\r\n\r\n", 1, []policy.AttemptCompleted{{Outcome: policy.RateLimited, RetryAfter: wait}}},
+		{"429 with a Retry-After", "429 X\r\nX-Backoff-Ms: 250\r\nContent-Length: 0\r\n\r\n", 1, []policy.AttemptCompleted{{Outcome: policy.RateLimited, RetryAfter: retryAfter}}},
 		{"503", "503 X\r\nContent-Length: 0\r\n\r\n", 1, []policy.AttemptCompleted{{Outcome: policy.RateLimited}}},
 		{"503 of a full egress", "503 X\r\nX-Egress-Full: 1\r\nContent-Length: 0\r\n\r\n", 1, []policy.AttemptCompleted{{Outcome: policy.NotSent}}},
 		{"410", "410 X\r\nContent-Length: 0\r\n\r\n", 1, []policy.AttemptCompleted{{Outcome: policy.NotSent, Final: true}}},
 		{"504", "504 X\r\nContent-Length: 0\r\n\r\n", 1, []policy.AttemptCompleted{{Outcome: policy.NotSent}}},
 		{"500", "500 X\r\nContent-Length: 0\r\n\r\n", 1, []policy.AttemptCompleted{{Outcome: policy.Failed}}},
 		{"another status", "404 X\r\nContent-Length: 0\r\n\r\n", 1, []policy.AttemptCompleted{{Outcome: policy.Failed}}},
-		{"429 of a batch", "429 X\r\nX-Backoff-Ms: 250\r\nContent-Length: 0\r\n\r\n", 2, []policy.AttemptCompleted{{Outcome: policy.RateLimited, RetryAfter: wait}, {Outcome: policy.RateLimited, RetryAfter: wait}}},
+		{"429 of a batch", "429 X\r\nX-Backoff-Ms: 250\r\nContent-Length: 0\r\n\r\n", 2, []policy.AttemptCompleted{{Outcome: policy.RateLimited, RetryAfter: retryAfter}, {Outcome: policy.RateLimited, RetryAfter: retryAfter}}},
 		{"200 of a batch", batchResponse("id1 done", "id2 failed", "id3 busy", "id4 void", "id5 used_up"), 5, []policy.AttemptCompleted{
 			{Outcome: policy.Delivered, Final: true}, {Outcome: policy.Failed}, {Outcome: policy.RateLimited}, {Outcome: policy.NotSent, Final: true}, {Outcome: policy.NotSent},
 		}},
 		{"a batch with an unknown word", batchResponse("id1 done", "id2 great"), 2, []policy.AttemptCompleted{{Outcome: policy.Failed}, {Outcome: policy.Failed}}},
-		{"a batch with a line too few", batchResponse("id1 done"), 2, []policy.AttemptCompleted{{Outcome: policy.Failed}, {Outcome: policy.Failed}}},
+		{"a batch with a missing line", batchResponse("id1 done"), 2, []policy.AttemptCompleted{{Outcome: policy.Failed}, {Outcome: policy.Failed}}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			addr := rawServer(t, func(_ int64, conn net.Conn) {
@@ -98,16 +98,16 @@
 					_, _ = io.WriteString(conn, "HTTP/1.1 "+c.response)
 				}
 			})
-			r := newCallFixture(t, addr)
-			messages := r.start(testTimeout, c.parts)
+			f := newCallFixture(t, addr)
+			messages := f.start(testTimeout, c.parts)
 			got := map[policy.MessageID]policy.AttemptCompleted{}
 			for range messages {
-				e := r.next()
+				e := f.next()
 				got[e.Message] = e
 			}
 			for i, m := range messages {
 				want := c.want[i]
-				want.Message, want.Endpoint, want.Duration = m.Seq, r.endpoint.ID, got[m.Seq].Duration
+				want.Message, want.Endpoint, want.Duration = m.Seq, f.endpoint.ID, got[m.Seq].Duration
 				if got[m.Seq] != want {
 					t.Errorf("%s: got %+v, want %+v", m.ID, got[m.Seq], want)
 				}
@@ -116,7 +116,7 @@
 	}
 }
 
-// batchResponse returns the response to a batch, with a line for each message.
+// batchResponse returns the response to a batch with the given result lines.
 func batchResponse(lines ...string) string {
 	body := ""
 	for _, l := range lines {
--- a/internal/egress/http1/pool_test.go
+++ b/internal/egress/http1/pool_test.go
@@ -13,7 +13,7 @@
 	"wingmount/policy"
 )
 
-// The next call reuses an open connection, and never a closed one.
+// A call reuses an idle connection only if it is still open. It never uses one that the endpoint closed.
 func TestCallsReuseOpenConnectionsOnly(t *testing.T) {
 	var conns atomic.Int64
 	closed := make(chan struct{}, 1)
@@ -30,47 +30,47 @@
 		_ = conn.Close()
 		closed <- struct{}{}
 	})
-	r := newCallFixture(t, addr)
+	f := newCallFixture(t, addr)
 	for i := range 2 {
-		r.start(5*time.Second, 1)
-		if e := r.next(); e.Outcome != policy.Delivered {
+		f.start(5*time.Second, 1)
+		if e := f.next(); e.Outcome != policy.Delivered {
 			t.Fatalf("call %d: got %+v, want it delivered", i, e)
 		}
-		r.caller.running.Wait()
+		f.carrier.running.Wait()
 	}
 	if n := conns.Load(); n != 1 {
 		t.Errorf("got %d connections for two calls, want 1", n)
 	}
 	<-closed
 	deadline := time.Now().Add(testTimeout)
-	for p := &r.caller.pool; p.all.Len() > 0 && p.all.Front().Value.(*connection).isReusable() && time.Now().Before(deadline); {
+	for p := &f.carrier.pool; p.all.Len() > 0 && p.all.Front().Value.(*connection).isReusable() && time.Now().Before(deadline); {
 		time.Sleep(time.Millisecond)
 	}
-	r.start(5*time.Second, 1)
-	if e := r.next(); e.Outcome != policy.Delivered {
+	f.start(5*time.Second, 1)
+	if e := f.next(); e.Outcome != policy.Delivered {
 		t.Errorf("after the endpoint closed an idle connection: got %+v, want it delivered", e)
 	}
 }
 
-// The idle connections to one endpoint are limited, and an endpoint never gets a connection of
-// another one, also not at the same address.
-func TestPoolIsBounded(t *testing.T) {
+// The pool limits the idle connections to one endpoint and to all endpoints. It never returns a
+// connection of another endpoint, even if both have the same address.
+func TestPoolLimitsAndSeparatesIdleConnections(t *testing.T) {
 	addr := rawServer(t, func(_ int64, conn net.Conn) {
 		defer func() { _ = conn.Close() }()
-		_, _ = io.Copy(io.Discard, conn) // until the other side closes
+		_, _ = io.Copy(io.Discard, conn) // until the client closes the connection
 	})
-	r := newCallFixture(t, addr)
-	p := &r.caller.pool
+	f := newCallFixture(t, addr)
+	p := &f.carrier.pool
 	fill := func(e *egress.Endpoint) {
 		for range 3 * minIdlePerEndpoint {
-			conn, err := r.caller.dialer.Dial("tcp", addr)
+			conn, err := f.carrier.dialer.Dial("tcp", addr)
 			testkit.Must(t, err)
 			p.put(newConnection(conn, e, addr))
 		}
 	}
-	fill(r.endpoint)
+	fill(f.endpoint)
 	if p.get(&egress.Endpoint{ID: 2}, addr, time.Now().Add(-time.Minute)) != nil {
-		t.Error("got a connection of another endpoint, want none")
+		t.Error("got a connection of another endpoint, want nil")
 	}
 	if n := p.all.Len(); n != minIdlePerEndpoint {
 		t.Errorf("got %d idle connections to one endpoint, want %d", n, minIdlePerEndpoint)
@@ -78,11 +78,11 @@
 	p.maxIdle = minIdlePerEndpoint + 2
 	fill(&egress.Endpoint{})
 	if n := p.all.Len(); n != p.maxIdle {
-		t.Errorf("got %d idle connections to all, want %d", n, p.maxIdle)
+		t.Errorf("got %d idle connections to all endpoints, want %d", n, p.maxIdle)
 	}
-	p.closeIdleSince(time.Time{}, r.endpoint)
+	p.closeIdleSince(time.Time{}, f.endpoint)
 	if n := p.all.Len(); n != minIdlePerEndpoint {
-		t.Errorf("got %d idle connections, want those to the other endpoint", n)
+		t.Errorf("got %d idle connections after closing those to one endpoint, want only those to the other", n)
 	}
 	p.closeIdleSince(time.Now(), nil)
 	if n := p.all.Len(); n != 0 {
