--- a/internal/egress/authorizer_test.go
+++ b/internal/egress/authorizer_test.go
@@ -16,19 +16,19 @@
 // are persisted.
 func TestBeginWithoutQuotaReturnsErrNoQuota(t *testing.T) {
 	for name, c := range map[string]struct {
-		before, meanwhile bool // whether calls are denied before Begin, and while it persists the attempts
-		want              error
-		recorded          int
+		before, duringPersist bool // whether calls are denied before Begin, and while it persists the attempts
+		want                  error
+		recorded              int
 	}{
-		"allowed":        {false, false, nil, 1},
-		"lost":           {true, false, ErrNoQuota, 0},
-		"lost meanwhile": {false, true, ErrNoQuota, 1},
+		"allowed":             {false, false, nil, 1},
+		"lost":                {true, false, ErrNoQuota, 0},
+		"lost during persist": {false, true, ErrNoQuota, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			a, s := &authorizer{}, &recordingStore{}
 			a.denied.Store(c.before)
-			s.meanwhile = func() error {
-				a.denied.Store(c.meanwhile)
+			s.onRecordAttempt = func() error {
+				a.denied.Store(c.duringPersist)
 				return nil
 			}
 			r := &Recorder{Store: s, Authorizer: a, Log: testkit.QuietLog()}
--- a/internal/egress/http1/response_test.go
+++ b/internal/egress/http1/response_test.go
@@ -13,7 +13,7 @@
 
 // Each response determines the outcomes of its call. A call with an unknown status may have run, so it fails.
 func TestResponseDeterminesOutcomes(t *testing.T) {
-	const wait = "X-Backoff-Ms: 250\r\n"
+	const retryAfterLine = "X-Backoff-Ms: 250\r\n"
 	for name, c := range map[string]struct {
 		response string
 		parts    int
@@ -21,7 +21,7 @@
 	}{
 		"delivered":                       {"200 OK\r\nContent-Length: 0", 1, []policy.AttemptCompleted{{Outcome: policy.Delivered, Final: true}}},
 		"500":                             {"500 X\r\nContent-Length: 0", 1, []policy.AttemptCompleted{{Outcome: policy.Failed}}},
-		"429 with Retry-After":            {"429 X\r\n" + wait + "Content-Length: 0", 1, []policy.AttemptCompleted{{Outcome: policy.RateLimited, RetryAfter: 250 * time.Millisecond}}},
+		"429 with Retry-After":            {"429 X\r\n" + retryAfterLine + "Content-Length: 0", 1, []policy.AttemptCompleted{{Outcome: policy.RateLimited, RetryAfter: 250 * time.Millisecond}}},
 		"429 with invalid Retry-After":    {"429 X\r\nX-Backoff-Ms: soon\r\nContent-Length: 0", 1, []policy.AttemptCompleted{{Outcome: policy.RateLimited}}},
 		"503":                             {"503 X\r\nContent-Length: 0", 1, []policy.AttemptCompleted{{Outcome: policy.RateLimited}}},
 		"503 of a full egress":            {"503 X\r\nX-Egress-Full: 1\r\nContent-Length: 0", 1, []policy.AttemptCompleted{{Outcome: policy.NotSent}}},
@@ -29,7 +29,7 @@
 		"410":                             {"410 X\r\nContent-Length: 0", 1, []policy.AttemptCompleted{{Outcome: policy.NotSent, Final: true}}},
 		"unknown status":                  {"418 X\r\nContent-Length: 0", 1, []policy.AttemptCompleted{{Outcome: policy.Failed}}},
 		"batch 503":                       {"503 X\r\nContent-Length: 0", 2, []policy.AttemptCompleted{{Outcome: policy.RateLimited}, {Outcome: policy.RateLimited}}},
-		"batch with all results":          {"200 OK\r\n" + wait + "Content-Length: 55\r\n\r\nid1 done\r\nid2 failed\r\nid3 busy\r\nid4 void\r\nid5 used_up\r\n", 5, []policy.AttemptCompleted{{Outcome: policy.Delivered, Final: true, RetryAfter: 250 * time.Millisecond}, {Outcome: policy.Failed, RetryAfter: 250 * time.Millisecond}, {Outcome: policy.RateLimited, RetryAfter: 250 * time.Millisecond}, {Outcome: policy.NotSent, Final: true, RetryAfter: 250 * time.Millisecond}, {Outcome: policy.NotSent, RetryAfter: 250 * time.Millisecond}}},
+		"batch with all results":          {"200 OK\r\n" + retryAfterLine + "Content-Length: 55\r\n\r\nid1 done\r\nid2 failed\r\nid3 busy\r\nid4 void\r\nid5 used_up\r\n", 5, []policy.AttemptCompleted{{Outcome: policy.Delivered, Final: true, RetryAfter: 250 * time.Millisecond}, {Outcome: policy.Failed, RetryAfter: 250 * time.Millisecond}, {Outcome: policy.RateLimited, RetryAfter: 250 * time.Millisecond}, {Outcome: policy.NotSent, Final: true, RetryAfter: 250 * time.Millisecond}, {Outcome: policy.NotSent, RetryAfter: 250 * time.Millisecond}}},
 		"batch truncated":                 {"200 OK\r\nContent-Length: 61\r\n\r\nid1 done\r\nid2 do", 2, []policy.AttemptCompleted{{Outcome: policy.Reset}, {Outcome: policy.Reset}}},
 		"429 with Retry-After of 24 days": {"429 X\r\nX-Backoff-Ms: 2073600000\r\nContent-Length: 0", 1, []policy.AttemptCompleted{{Outcome: policy.RateLimited}}},
 		"interim responses":               {"100 Continue\r\n\r\nHTTP/1.1 103 Early\r\nLink: x\r\n\r\nHTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n", 1, []policy.AttemptCompleted{{Outcome: policy.RateLimited}}},
--- a/internal/egress/recorder_test.go
+++ b/internal/egress/recorder_test.go
@@ -13,13 +13,13 @@
 
 var errNoDisk = errors.New("no disk")
 
-// recordingStore records attempts and outcomes, and calls meanwhile, if it is set, in RecordAttempt.
+// recordingStore records attempts and outcomes, and calls onRecordAttempt, if set, in RecordAttempt.
 // RecordOutcome always fails with errNoDisk.
 type recordingStore struct {
 	store.Store
-	attempts  []store.Attempt
-	outcomes  []store.Outcome
-	meanwhile func() error
+	attempts        []store.Attempt
+	outcomes        []store.Outcome
+	onRecordAttempt func() error
 }
 
 func (s *recordingStore) RecordAttempt(ctx context.Context, a store.Attempt) error {
@@ -30,8 +30,8 @@
 	for _, m := range a.Messages {
 		m.History.RecordAttempt(a.Zone, a.At)
 	}
-	if s.meanwhile != nil {
-		return s.meanwhile()
+	if s.onRecordAttempt != nil {
+		return s.onRecordAttempt()
 	}
 	return nil
 }
@@ -57,26 +57,26 @@
 // persisted, Begin still returns an error, and the attempts stay persisted.
 func TestBeginWithClosedGateOrStoreErrorFails(t *testing.T) {
 	for name, c := range map[string]struct {
-		before    func(*Call)
-		meanwhile func(*Call) error
-		want      error
-		recorded  bool
+		before        func(*Call)
+		duringPersist func(*Call) error
+		want          error
+		recorded      bool
 	}{
-		"open":                  {nil, nil, nil, true},
-		"draining":              {func(call *Call) { call.Endpoint.DrainGate.CloseAt(time.Now()) }, nil, ErrClosed, false},
-		"draining later":        {func(call *Call) { call.Endpoint.DrainGate.CloseAt(time.Now().Add(time.Hour)) }, nil, nil, true},
-		"Retry-After before":    {func(call *Call) { call.Endpoint.RetryAfterGate.CloseUntil(time.Now().Add(time.Hour)) }, nil, ErrClosed, false},
-		"Retry-After meanwhile": {nil, func(call *Call) error { call.Endpoint.RetryAfterGate.CloseUntil(time.Now().Add(time.Hour)); return nil }, ErrClosed, true},
-		"store unavailable":     {nil, func(*Call) error { return store.ErrUnavailable }, store.ErrUnavailable, true},
-		"key expired meanwhile": {func(call *Call) { call.Parts[1].Message.KeyWindow = time.Hour }, func(call *Call) error { call.Parts[1].Message.History.RanAt = time.Now().Add(-time.Hour); return nil }, store.ErrKeyExpired, true},
+		"open":                       {nil, nil, nil, true},
+		"draining":                   {func(call *Call) { call.Endpoint.DrainGate.CloseAt(time.Now()) }, nil, ErrClosed, false},
+		"draining later":             {func(call *Call) { call.Endpoint.DrainGate.CloseAt(time.Now().Add(time.Hour)) }, nil, nil, true},
+		"Retry-After before":         {func(call *Call) { call.Endpoint.RetryAfterGate.CloseUntil(time.Now().Add(time.Hour)) }, nil, ErrClosed, false},
+		"Retry-After during persist": {nil, func(call *Call) error { call.Endpoint.RetryAfterGate.CloseUntil(time.Now().Add(time.Hour)); return nil }, ErrClosed, true},
+		"store unavailable":          {nil, func(*Call) error { return store.ErrUnavailable }, store.ErrUnavailable, true},
+		"key expired during persist": {func(call *Call) { call.Parts[1].Message.KeyWindow = time.Hour }, func(call *Call) error { call.Parts[1].Message.History.RanAt = time.Now().Add(-time.Hour); return nil }, store.ErrKeyExpired, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			call, s := newCall(), &recordingStore{}
 			if c.before != nil {
 				c.before(call)
 			}
-			if c.meanwhile != nil {
-				s.meanwhile = func() error { return c.meanwhile(call) }
+			if c.duringPersist != nil {
+				s.onRecordAttempt = func() error { return c.duringPersist(call) }
 			}
 			r := &Recorder{Store: s, Log: testkit.QuietLog()}
 			if err := r.Begin(t.Context(), call); !errors.Is(err, c.want) {
