--- a/internal/egress/authorizer_test.go
+++ b/internal/egress/authorizer_test.go
@@ -7,27 +7,28 @@
 	"wingmount/internal/testkit"
 )
 
-// authorizer allows calls until it is set to denied.
+// authorizer allows calls while denied is not set.
 type authorizer struct{ denied atomic.Bool }
 
 func (a *authorizer) MayCall(int) bool { return !a.denied.Load() }
 
-// A call is not sent if its quota is lost before the first byte, also while its attempts are persisted.
-func TestBeginWithoutQuota(t *testing.T) {
+// A call must not be sent if the node loses its quota before the first byte, even if that happens while the attempts
+// are persisted.
+func TestBeginWithoutQuotaReturnsErrNoQuota(t *testing.T) {
 	for name, c := range map[string]struct {
-		before, meanwhile bool // denied before Begin, or while it persists the attempts
-		want              error
-		recorded          int
+		before, duringPersist bool // whether calls are denied before Begin, and while it persists the attempts
+		want                  error
+		recorded              int
 	}{
-		"allowed":        {false, false, nil, 1},
-		"lost":           {true, false, ErrNoQuota, 0},
-		"lost meanwhile": {false, true, ErrNoQuota, 1},
+		"allowed":             {false, false, nil, 1},
+		"lost":                {true, false, ErrNoQuota, 0},
+		"lost during persist": {false, true, ErrNoQuota, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			a, s := &authorizer{}, &recordingStore{}
 			a.denied.Store(c.before)
-			s.meanwhile = func() error {
-				a.denied.Store(c.meanwhile)
+			s.onRecordAttempt = func() error {
+				a.denied.Store(c.duringPersist)
 				return nil
 			}
 			r := &Recorder{Store: s, Authorizer: a, Log: testkit.QuietLog()}
