--- a/internal/control/member_test.go
+++ b/internal/control/member_test.go
@@ -57,6 +57,13 @@
 	}
 }
 
+// setName sets the name of the host that listens at an address.
+func (n *partitionedNetwork) setName(address, name string) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.names[address] = name
+}
+
 // connected reports whether a host is in the same partition as the host that listens at an address.
 func (n *partitionedNetwork) connected(from, address string) bool {
 	n.mu.Lock()
@@ -111,7 +118,7 @@
 		address := q.freeAddress()
 		q.initial = append(q.initial, QuorumMember{ID: leadership.MemberID(i + 1), Region: region, Address: address})
 		q.regions[region] = append(q.regions[region], address)
-		q.network.names[address] = memberName(i + 1)
+		q.network.setName(address, memberName(i+1))
 	}
 	for i := range q.initial {
 		q.startInitialMember(i + 1)
@@ -411,7 +418,7 @@
 		}
 	}
 	address := q.freeAddress()
-	q.network.names[address] = memberName(9)
+	q.network.setName(address, memberName(9))
 	added := QuorumMember{ID: 9, Region: "north", Address: address}
 	if status := q.post(remaining, pathDrain+"?node=n1&draining=true"); status != http.StatusServiceUnavailable {
 		t.Errorf("drain without a majority: got status %d, want 503", status)
