--- a/decide/ratelimit/quota.go
+++ b/decide/ratelimit/quota.go
@@ -7,7 +7,8 @@
 //
 // # Shared quotas
 //
-// With eighty senders each sender makes a call only every few seconds. Its own rejections inform it too late:
+// A quota allows its level times the sender's fair share of the advertised rate. If 80 senders share a limit of,
+// say, 20 calls per second, each makes a call only every four seconds. Its own rejections inform it too late:
 // if only they cut the level, cuts and growth would balance only when a quarter of all calls is rejected. So
 // senders report each rejection to each other, and every sender makes a small cut for each of them. The levels
 // of all senders then change together.
@@ -39,9 +40,8 @@
 	// outstanding together are rejected together.
 	maxCutBurst = 0.5
 
-	// The growth per second is minGrowth right after a rejection. It increases with the square of the time
-	// since the rejection, by minGrowth after growthRampTime, up to maxGrowth. So the level grows slowly near
-	// the limit, and fast after the limit was removed.
+	// The growth per second is minGrowth * (1 + (t/growthRampTime)^2), at most maxGrowth, with t the time since
+	// the last rejection. So the level grows slowly near the limit, and fast after the limit was removed.
 	minGrowth, maxGrowth = 0.02, 0.3
 	growthRampTime       = 500 * time.Millisecond
 	// growthWindow is how long a level grows after a message had to wait for the quota. While the level is not
@@ -191,7 +191,7 @@
 
 // RecordRejection cuts the level after a call of this sender, or of a peer that reported it, was rejected for
 // exceeding the limit. unreported means that the rejection is not reported to other senders. It then counts
-// once per sender, because the other senders have as many rejections that are not reported to this one.
+// once per sender, because the unreported rejections of the other senders do not reach this one either.
 func (q *Quota) RecordRejection(now time.Duration, unreported bool) {
 	q.advance(now)
 	count := 1.0
--- a/internal/container/queue_test.go
+++ b/internal/container/queue_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-// queueEntry is an entry whose value is an entry with the same Seq.
+// queueEntry is an entry whose value identifies it by its Seq.
 type queueEntry = Entry[*Entry[int]]
 
 // queueModel is the reference model of a queue: a slice that each call searches and sorts. All entries are in order of
--- a/internal/container/queueage.go
+++ b/internal/container/queueage.go
@@ -55,7 +55,7 @@
 	return q.appendYoungest(tree, after, until, n, to)
 }
 
-// appendCreated appends up to limit values with a creation time from from, inclusive, to before, exclusive, oldest first.
+// appendCreated appends up to limit values with a creation time in [from, before), oldest first.
 func (q *Queue[T]) appendCreated(tree *btree.BTreeG[*Entry[T]], from, before int64, limit int, to []T) []T {
 	q.low.CreatedAt, q.high.CreatedAt = from, before
 	end := len(to) + limit
--- a/internal/container/window.go
+++ b/internal/container/window.go
@@ -41,9 +41,9 @@
 	return w.times[len(w.times)-n], true
 }
 
-// Next returns the earliest time at which the next time may be added, so that the mean gap between times is at least
-// gap. The gap is in nanoseconds and above 0. The caller checks once per tick, so all times that are due within a tick
-// may be added at once.
+// Next returns the earliest time at which another event may be recorded, so that the mean gap between events is at least
+// gap. The gap is in nanoseconds and above 0. The caller checks once per tick, so all events that are due within a tick
+// may be recorded at once.
 func (w *Window) Next(gap float64, tick time.Duration) time.Duration {
 	dueInTick := max(1, math.Ceil(float64(tick)/gap))
 	earlier, ok := w.NthLatest(int(min(dueInTick, float64(len(w.times)+1))))
--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -17,7 +17,7 @@
 	Revision int64    `json:"revision"`
 	Complete bool     `json:"complete"` // endpoints that are not in Members have been removed
 	Members  []Member `json:"members"`
-	// Live is set if the directory sent the list to this process of the node, and clear for a list from a cache.
+	// Live is set for a list received since this process started, and clear for one from a cache.
 	Live bool `json:"-"`
 }
 
--- a/internal/engine/assignment.go
+++ b/internal/engine/assignment.go
@@ -21,17 +21,19 @@
 type assignmentChanged struct {
 	Assignment
 	leaseValid *bool         // whether quotas may be used; nil for no change
-	done       chan struct{} // closed after the step that passes the change to the module
+	done       chan struct{} // closed at the end of the round that handles the change
 }
 
 // SetAssignment changes the quotas and endpoints assigned to this node. Quotas apply only while its lease is valid.
-// SetAssignment returns when the module has applied the change, or when Run has returned.
+// SetAssignment returns at the end of the round that handles the change, or when Run has returned. While the engine
+// drains, the module does not get the change.
 func (e *Engine) SetAssignment(assignment Assignment) {
 	e.postAndWait(assignmentChanged{Assignment: assignment, done: make(chan struct{})})
 }
 
 // SetLeaseValid sets whether this node's lease is valid. Without a valid lease the node makes no call. SetLeaseValid
-// returns when the module has applied the change, or when Run has returned.
+// returns at the end of the round that handles the change, or when Run has returned. While the engine drains, the module
+// does not get the change.
 func (e *Engine) SetLeaseValid(valid bool) {
 	e.postAndWait(assignmentChanged{leaseValid: &valid, done: make(chan struct{})})
 }
@@ -103,7 +105,7 @@
 	leaseValid    bool
 	byDestination map[int]float64 // fractions of the rate limit, without zeros
 	endpoints     map[int][]ratedEndpoint
-	waiting       []chan struct{} // closed by notifyWaiting when the module has applied the changes of this round
+	waiting       []chan struct{} // closed by notifyWaiting at the end of this round
 }
 
 // ratedEndpoint is an endpoint and its rate limit from the directory's list, in calls per second.
--- a/internal/engine/contracts.go
+++ b/internal/engine/contracts.go
@@ -11,7 +11,7 @@
 	"wingmount/policy"
 )
 
-// Carrier makes calls to endpoints. When a part of a call completes, the OnOutcome callback of the carrier's
+// Carrier makes calls to endpoints. When the attempt at a message of a call completes, the OnOutcome callback of the carrier's
 // [egress.Recorder] posts one [CompletedAttempt] to the engine.
 type Carrier interface {
 	// Start starts a call and returns without waiting for its outcome.
@@ -27,8 +27,8 @@
 type Admission interface {
 	// Observe reports the observations since the previous call, in order. It takes ownership of the slice.
 	Observe(observations []admission.Observation)
-	// SetDestinations replaces the set of existing destinations. The set is complete if the directory has sent its
-	// complete list since this process started. SetDestinations takes ownership of the map.
+	// SetDestinations replaces the set of known destinations. The set is complete if a live list, or an assignment of
+	// endpoints, has been applied since this process started. SetDestinations takes ownership of the map.
 	SetDestinations(destinations map[int]bool, complete bool)
 	// RoundBegan and RoundEnded are called at the start and the end of each round. In a round the engine handles all
 	// queued events, steps the decision module, and executes its actions.
--- a/internal/engine/directory.go
+++ b/internal/engine/directory.go
@@ -58,7 +58,7 @@
 	}
 	if endpoint == nil && state != policy.Ready {
 		// An endpoint that is draining in its first entry gets no messages: an earlier process may have received the
-		// notice, and the drain grace may be over.
+		// drain notice, and the drain grace may be over.
 		return policy.Entry{}, false
 	}
 	if endpoint == nil {
--- a/internal/engine/endpoints.go
+++ b/internal/engine/endpoints.go
@@ -51,7 +51,7 @@
 	destinations map[int]*trackedDestination
 	vacant       map[int]vacantDestination
 
-	listComplete bool // the directory has sent its complete list since this process started
+	listComplete bool // a live list, or an assignment of endpoints, has been applied since this process started
 	// destinationsChanged is set if destinations or listComplete have changed since they were passed to the admission.
 	destinationsChanged bool
 }
--- a/internal/engine/events.go
+++ b/internal/engine/events.go
@@ -98,7 +98,7 @@
 	if leftToNextOwner(e.deps.Store, a.StoreErr) {
 		return
 	}
-	if m.FinalResponse != nil && !m.FinalResponse.Implied { // the store sets FinalResponse if deliveries are announced
+	if m.FinalResponse != nil && !m.FinalResponse.Implied { // the store sets FinalResponse only if clients are notified of deliveries
 		e.deps.Notifier.Add(m)
 	}
 }
--- a/internal/engine/responses.go
+++ b/internal/engine/responses.go
@@ -122,7 +122,7 @@
 
 // write persists a batch and passes it to the notifier.
 func (w *responseWriter) write(batch []store.Completion) {
-	_ = beforePersisted.At() // ignored: the module's decision is final
+	_ = beforePersisted.At() // an injected error is ignored, because the module's decision is final
 	// The write has no deadline of its own: the module's decisions are written however long the store is not writable.
 	err := w.store.Complete(w.ctx, batch...)
 	if errors.Is(err, store.ErrFenced) {
--- a/internal/estimate/estimate.go
+++ b/internal/estimate/estimate.go
@@ -14,7 +14,7 @@
 	Gain = 0.2
 	// SlowGain is the weight of a new value in a slow baseline.
 	SlowGain = 0.02
-	// peakDeviations is the expected distance of a day's best window above the mean, in standard deviations.
+	// peakDeviations is the expected distance of the best window (Rate.Peak) above the mean, in standard deviations.
 	peakDeviations = 2
 	// minWindowSuccesses is the lowest mean number of successes per window to which peakDeviations applies. With a
 	// lower mean the best window is further above the mean.
@@ -86,9 +86,9 @@
 // SenderShare returns the rate of this sender's successful calls, in calls per second, over the elapsed time since it
 // started sending. The shares of all senders add up to the destination's rate.
 //
-// The share is the higher of the mean rate and the best window's rate less the excess that is due to chance. The best
-// window of one sender is peakDeviations standard deviations above its mean. The best windows of different senders are
-// at different times, so the excess of all n senders together is only 1/sqrt(n) of the sum of their excesses.
+// The share is max(mean rate, best window's rate - chance). The best window of one sender is peakDeviations standard
+// deviations above its mean. The best windows of different senders are at different times, so the excess of all n
+// senders together is only 1/sqrt(n) of the sum of their excesses. Each sender subtracts the rest as due to chance.
 func (r *Rate) SenderShare(elapsed time.Duration, senders int) float64 {
 	span := r.Window.Span
 	mean := float64(r.Total) / max(span, elapsed).Seconds()
--- a/internal/inflight/updates.go
+++ b/internal/inflight/updates.go
@@ -16,7 +16,7 @@
 // destinationList is the set of existing destinations.
 type destinationList struct {
 	numbers  []uint32 // sorted
-	complete bool     // the directory has sent its complete list since this process started
+	complete bool     // a live list, or an assignment of endpoints, has been applied since this process started
 }
 
 // applyUpdates applies the queued batches, oldest first, and returns the time since the registry's origin. The caller
--- a/internal/message/message.go
+++ b/internal/message/message.go
@@ -105,8 +105,8 @@
 	h.MayHaveRun = flags&flagMayHaveRun != 0
 }
 
-// KeyExpired reports whether a message that may have run must no longer be sent at the given time. The destination
-// deduplicates by key only for the given window, so a message sent after the window may run a second time. A window of 0
+// KeyExpired reports whether a message that may have run must no longer be sent at the given time, because the window
+// for which the destination deduplicates has ended and the message may run a second time. A window of 0
 // never expires, because the destination does not deduplicate.
 func (h *History) KeyExpired(window time.Duration, at time.Time) bool {
 	return window > 0 && h.MayHaveRun && at.Sub(h.RanAt) >= window
@@ -140,7 +140,7 @@
 const (
 	// Failed means that the message may or may not have run at the destination.
 	Failed ResponseKind = iota
-	// Rejected guarantees that the message does not run twice if the client submits it again.
+	// Rejected guarantees that the client may safely submit the message again: it has not run, or a repeat does no harm.
 	Rejected
 	// Delivered confirms that the destination has accepted the message.
 	Delivered
--- a/internal/message/message_test.go
+++ b/internal/message/message_test.go
@@ -63,8 +63,7 @@
 				if h.MayHaveRun != may || h.Attempts != len(attempts) {
 					t.Fatalf("got %+v, want MayHaveRun %v with %d attempts", h, may, len(attempts))
 				}
-				// RanAt is the time of the first attempt that may have run, or of an earlier attempt whose outcome proved
-				// later that it did not run. It is never after the first attempt that may have run.
+				// RanAt is never after the first attempt that may have run.
 				if may && h.RanAt.After(from) {
 					t.Fatalf("RanAt: got %v, want %v or earlier", h.RanAt, from)
 				}
