--- a/policy/circuit.go
+++ b/policy/circuit.go
@@ -44,13 +44,16 @@
 	lastSuccessAt     Time // or 0
 	failureScore      float64
 
-	consecutiveTimeouts   int
-	consecutiveRejections int  // by a rate limit; without a quota only of calls sent after the last one
+	consecutiveTimeouts int
+	// consecutiveRejections is the number of rejections by a rate limit in a row. Without a quota, those of
+	// calls sent before the last rejection are not counted.
+	consecutiveRejections int
 	lastRejectionAt       Time // by a rate limit
 	rejections            outlier.Score
 }
 
-// recordFailure applies a failure. connectionOnly means that possibly only the connection failed.
+// recordFailure applies a failure. connectionOnly means that the connection may have
+// failed rather than the endpoint.
 func (c *circuitBreaker) recordFailure(now Time, weight float64, connectionOnly bool) {
 	c.suspect = true
 	c.unhealthySince = cmp.Or(c.unhealthySince, now)
@@ -144,8 +147,8 @@
 }
 
 // recordRejection applies a rejection by a rate limit to the path, and also to the health of the endpoint if
-// it indicates an outage. The rejections before a long Retry-After give no information about the limit, so
-// their cuts are undone.
+// it indicates an outage. Rejections before a long Retry-After say nothing about the limit, so the cuts of
+// the allotment that they caused are undone.
 func (s *Sender) recordRejection(c *call, retryAfter time.Duration) {
 	e := c.endpoint
 	s.recordRateLimit(e, c.sentAt, retryAfter)
@@ -220,8 +223,8 @@
 }
 
 // presumedDown reports whether a single error is treated as an outage: if no recent success and no report of
-// a peer contradicts it, and the ramp budget is less than one call. Otherwise hundreds of senders with one
-// failure each would all make a next call.
+// a peer contradicts it, and the ramp budget is less than one call. Without this rule,
+// hundreds of senders that each saw one failure would each send one more call to the endpoint.
 func (s *Sender) presumedDown(e *endpoint) bool {
 	noRecentSuccess := s.now-e.circuit.lastSuccessAt >= outageWindows*s.settings.OverloadWindow
 	return e.circuit.errorSinceSuccess && noRecentSuccess && !s.receivesReports() &&
--- a/policy/events.go
+++ b/policy/events.go
@@ -8,7 +8,7 @@
 // MessageID identifies a message. The node chooses it and never reuses one.
 type MessageID uint64
 
-// Event is an observation of the node. The node passes events to [Sender.Step].
+// Event is something that the node observed. The node passes events to [Sender.Step].
 type Event interface{ event() }
 
 // EndpointUpdate contains the complete endpoint list, or changes to it.
@@ -64,8 +64,8 @@
 	ProbeDelay time.Duration // PeerDown: others probe the endpoint, so this sender waits at least this long
 }
 
-// HealthRestored contains the observations about an endpoint that the node made before it restarted. It must
-// precede the first call to the endpoint.
+// HealthRestored contains the observations about an endpoint that the node made before it restarted. It
+// may arrive after calls to the endpoint if all their outcomes precede FailedAt.
 type HealthRestored struct {
 	Endpoint    EndpointID
 	CallTimes   []Time // oldest first
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -258,8 +258,8 @@
 	}
 }
 
-// If all reports are lost, a sender sees only the rejections of its own calls. Each of them counts once for each
-// sender, so that the nodes together must still stay near the limit.
+// If all reports are lost, a sender sees only the rejections of its own calls. Each of them therefore
+// counts once for each sender. The nodes together must still stay near the limit.
 func TestFleetWithoutReportsStaysNearLimit(t *testing.T) {
 	f := newFleet(fleetConfig{nodes: 80, advertised: 60, limit: 40, lossRate: 1, seed: 9})
 	f.offer(60, 10*time.Second)
@@ -377,8 +377,8 @@
 			_, first, _ := f.takeCounts()
 			f.offer(1.2*limit, 4*time.Second)
 			_, later, _ := f.takeCounts()
-			// R (1-q) ln(1/q) rejections until the level has followed, with the former limit R and the remaining part
-			// q: see docs/design/fleet.md. The calls of 1.5 s at the former limit are a margin for chance.
+			// Until the level reaches the new limit there are about R (1-q) ln(1/q) rejections, where R is the former
+			// limit and q the fraction that remains: see docs/design/fleet.md. The calls of 1.5 s at the former limit are a margin for chance.
 			bound := limit*(1-remaining)*math.Log(1/remaining) + 1.5*limit
 			if float64(first) > bound || later > limit {
 				t.Errorf("%d nodes, %.2f of the limit remaining: got %d calls rejected in 4 s and %d in the next 4 s, want %.0f and %d at most", nodes, remaining, first, later, bound, limit)
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -538,8 +538,8 @@
 	}
 }
 
-// While an endpoint warms up, a single failure may be a lost call. After two in a row the endpoint had not recovered
-// yet: the warm-up must restart, or its ramp would allow too many calls.
+// While an endpoint warms up, a single failure may be a lost call. Two failures in a row mean that the endpoint has
+// not recovered: the warm-up must restart, or its ramp would allow too many calls.
 func TestWarmUpRestartsAfterTwoFailures(t *testing.T) {
 	h := newHarness(t, testSettings(), testDestination{endpoints: 1})
 	e := h.path().endpoints[0]
--- a/policy/probe.go
+++ b/policy/probe.go
@@ -7,8 +7,8 @@
 )
 
 // Another call to a suspect endpoint starts only while the messages in such calls are fewer than
-// 1/suspectSlotDivisor of the slots, or fewer than half of them while half of all slots are idle: see
-// mayCallSuspects.
+// 1/suspectSlotDivisor of the slots, or fewer than half of them while half of all slots are idle. Each
+// message of a batch counts as one slot: see mayCallSuspects.
 const suspectSlotDivisor = 4
 
 // unknownCount marks a count that must be computed again.
@@ -21,13 +21,13 @@
 }
 
 // fitsProbe reports whether a message may be sent to an endpoint that is suspect or probed. A timeout would
-// end an AtMostOnce message, so such a message is not used in the first half of its deadline.
+// end an AtMostOnce message, so such a message is used only after half of Class.Deadline.
 func (s *Sender) fitsProbe(m *message) bool {
 	return m.class.Repeat != AtMostOnce || s.now-m.createdAt > m.class.Deadline/2
 }
 
 // probeInterval returns the time between two probes of this sender: about an overload window for a probe
-// leader, and otherwise long enough that all senders together stay within the ramp budget.
+// leader that receives reports, and otherwise long enough that this sender stays within its ramp budget.
 func (s *Sender) probeInterval(e *endpoint) time.Duration {
 	interval := s.settings.OverloadWindow + estimate.Jitter(s.rng, s.settings.OverloadWindow/2)
 	budget := s.rampBudget(e, s.warmUpFactor(s.now))
@@ -37,8 +37,8 @@
 	return interval
 }
 
-// inheritOutage opens the circuit of an endpoint that is added to a path whose ready endpoints all have open
-// circuits. The new endpoint may be a replacement that is still warming up and must not get the full backlog
+// inheritOutage opens the circuit of an endpoint that is added to a path that has an open circuit and no
+// ready endpoint with a closed one. The new endpoint may be a replacement that is still warming up and must not get the full backlog
 // of the outage, so it is probed first.
 func (s *Sender) inheritOutage(e *endpoint) {
 	anyOpen := false
@@ -53,8 +53,8 @@
 
 // mayCallSuspects reports whether one more call to an endpoint that is suspect or whose circuit is open may
 // start. Most slots stay free for healthy endpoints, even if many calls to the others hang. While half of the
-// slots are idle, calls to suspect endpoints may use up to half of all slots: single calls get lost anywhere,
-// so an endpoint that is suspect is often healthy.
+// slots are idle, the messages in calls to suspect endpoints may number up to half of all slots: single calls
+// get lost anywhere, so an endpoint that is suspect is often healthy.
 func (s *Sender) mayCallSuspects() bool {
 	if s.slots.suspectMessages == unknownCount {
 		s.slots.suspectMessages = s.countSuspectMessages()
--- a/policy/queue.go
+++ b/policy/queue.go
@@ -9,7 +9,7 @@
 const maxSpareBacklogs = 1024
 
 // minPlainTicks is the minimum time left, in ticks, of a plain message. A plain message also has no key and
-// no earlier attempt. The plain messages of a class therefore differ only by age.
+// no earlier attempt, so it differs from other plain messages of its class only by age.
 const minPlainTicks = 3
 
 // message is one message, from its arrival until it is done and no attempt at it is outstanding.
@@ -51,11 +51,11 @@
 // backlog contains the unfinished messages of a destination.
 type backlog struct {
 	outstanding int                       // number of outstanding calls
-	queue       container.Queue[*message] // without an outstanding attempt; see minPlainTicks for plain ones
+	queue       container.Queue[*message] // messages without an outstanding attempt
 	unfinished  int                       // number of messages, including those with an outstanding attempt
 
 	rankedAt      int         // the step in which ranked was computed; 0 if it must be computed again
-	ranked        []candidate // may be sent next, the best one first
+	ranked        []candidate // candidates to be sent next: the best at index 0, the others unsorted
 	shedCandidate candidate   // see findShedCandidate
 }
 
--- a/policy/ratelimit.go
+++ b/policy/ratelimit.go
@@ -55,8 +55,8 @@
 	// maxPauseDoublings keeps the doubled pause from overflowing.
 	maxPauseDoublings = 6
 
-	// slowLatencyRatio is the ratio of latency to baseline latency, relative to that of all paths, above
-	// which a path is slow.
+	// A path is slow if its ratio of latency to baseline latency exceeds slowLatencyRatio times the same ratio
+	// of all paths.
 	slowLatencyRatio = 3
 	// A slow path may use 1/slowPathSlotDivisor of the slots.
 	slowPathSlotDivisor = 4
@@ -117,7 +117,7 @@
 	return float64(l.narrow.Count(now)) > capacity-1 || float64(l.wide.Count(now)) > capacity*wideToNarrow-1
 }
 
-// exhausted reports whether the calls in the narrow window use up the allotment.
+// exhausted reports whether at most one more call fits into the allotment of the narrow window.
 func (l *rateLimiter) exhausted(now Time) bool {
 	return l.limited() && float64(l.narrow.Count(now)) >= l.allotment-1
 }
@@ -171,8 +171,8 @@
 	return s.settings.RateAccuracy != RateUnknown && p.advertisedRate > 0 && p.assignedRate == 0
 }
 
-// applyAssignedRate applies the assigned rate of an entry, or its withdrawal. After a withdrawal the path
-// continues from its current allotment. For an idle destination the rate is stored for startTraffic.
+// applyAssignedRate applies the assigned rate of an entry; 0 withdraws an earlier one. After a withdrawal the
+// path continues from its current allotment. For an idle destination the rate is stored for startTraffic.
 func (s *Sender) applyAssignedRate(p *path, entry Entry) {
 	switch {
 	case entry.State == Removed:
@@ -255,7 +255,7 @@
 
 // recordQuotaRejection applies a rejection by an endpoint, of this sender's call or reported by a peer, to
 // the quota of its path. Rejections by outliers and during an outage do not cut the quota, because the limit
-// is not their cause. unreported means that the peers are not notified of the rejection.
+// is not their cause. unreported means that the peers probably do not learn of the rejection.
 func (s *Sender) recordQuotaRejection(e *endpoint, unreported bool) {
 	e.circuit.rejections.RecordRejection(s.now)
 	if !e.circuit.open && !s.isOutlier(e) {
--- a/policy/registry.go
+++ b/policy/registry.go
@@ -24,7 +24,7 @@
 }
 
 func newRegistry(senders int) registry {
-	// For allotments below one call the windows are longer than wideWindow, by up to the number of senders.
+	// For allotments below one call the windows are longer than wideWindow, by a factor of up to senders.
 	return registry{
 		destinations: map[int]*destination{},
 		retention:    time.Duration(senders) * 2 * wideWindow,
@@ -34,8 +34,8 @@
 // destination is the state of one destination. It is idle until its first message, report or restored health
 // arrives: addMessage, receiveReport and restoreHealth activate it before any other access. Only
 // applyEndpointList, evict and their callees may access an idle destination. They check active, or traffic
-// and health for nil, before they use either. Without a backlog only evict may access the destination itself;
-// other functions access only its paths and endpoints.
+// and health for nil, before they use traffic or health. The fields of backlog may be used only while the
+// destination has a message, or after a check for nil.
 type destination struct {
 	number int
 	order  uint64 // its position in the order in which destinations were added
@@ -57,7 +57,7 @@
 	advertisedRate  float64
 	assignedRate    float64
 	ratesReceivedAt Time   // when these rates were received
-	assumedCallAt   Time   // of an assumed call, so that senders with shared quotas do not start together
+	assumedCallAt   Time   // random time of a call that is counted but was not sent; see newPath
 	maxReady        uint32 // the maximum number of endpoints that were ready at the same time
 	kindIndex       uint16
 	zone            uint16
@@ -83,7 +83,7 @@
 	id             EndpointID
 	path           *path
 	older          *endpoint // see Link
-	stateChangedAt Time      // when it last became ready or stopped being ready
+	stateChangedAt Time      // when it was last listed as ready, or stopped being ready
 	zone           int32
 	state          EndpointState
 
@@ -259,8 +259,8 @@
 }
 
 // evict deletes removed endpoints and unused destinations. A removed endpoint is kept while a call to it is
-// outstanding, and for at least the longest time that a message may wait: a new endpoint of the path may be
-// its replacement, still warming up after an outage. The path of a separate route is deleted with its last
+// outstanding, and for at least the longest time that a message may wait, so that a replacement added
+// meanwhile inherits its open circuit: see inheritOutage. The path of a separate route is deleted with its last
 // endpoint, and a shared path with its destination: once the destination has no message and has had no
 // endpoint for the retention, within which calls may still count in the path's windows.
 func (s *Sender) evict() {
--- a/policy/schedule.go
+++ b/policy/schedule.go
@@ -12,8 +12,8 @@
 	// The destinations with waiting messages share 1/evenShareDivisor of the slots evenly, if that is at
 	// least one slot for each. Without an even share the fastest destination would get all slots.
 	evenShareDivisor = 8
-	// A message waits for others to share its call for batchWaitFraction of its soft deadline, less half the
-	// mean latency.
+	// A message waits at most batchWaitFraction of its soft deadline, less half the mean latency, for others to
+	// share its call.
 	batchWaitFraction = 0.25
 	// maxRankedMessages is the length of a queue up to which all its messages are ranked. In longer queues
 	// only the messages that can be next are ranked.
@@ -60,8 +60,9 @@
 	return c.score > other.score || c.score == other.score && c.message.entry.Before(&other.message.entry)
 }
 
-// dispatch sends calls while there are free slots and messages that can be sent. The next message is the one
-// that would lose the most value by waiting, per second for which it would occupy a slot.
+// dispatch sends calls while there are free slots and messages that can be sent. Destinations under
+// their even share come first. Among these, the next message is the one that would lose the most value by
+// waiting, per second for which it would occupy a slot.
 func (s *Sender) dispatch() {
 	s.slots.evenShare = s.settings.Slots / evenShareDivisor / max(1, s.queues.nonEmpty.Len())
 	for s.slots.outstanding < s.settings.Slots {
@@ -106,8 +107,8 @@
 // The n best messages are among them. In a short queue, or while slots are not scarce, all messages that are
 // ready are candidates. In a long queue, of the plain messages only those at the ends of certain age ranges
 // are candidates: within each range the loss of value is convex or increases with age, so the score has its
-// maximum at an end. Fees would make the choice of endpoint depend on a message's age, but they count only
-// while slots are not scarce.
+// maximum at an end. This would not hold if fees counted, because the choice of endpoint then depends on a
+// message's age; but fees count only while slots are not scarce.
 func (s *Sender) rank(d *destination, n int, dst []candidate) []candidate {
 	underShare := d.outstanding < s.slots.evenShare
 	add := func(m *message) bool {
@@ -147,7 +148,8 @@
 }
 
 // waitsForBatch reports whether a message should wait for others to share its call. Messages wait only under
-// a rate limit: the limit counts calls, and with many senders each sender gets few messages to batch.
+// a rate limit: the limit counts calls, so full batches save calls. With many senders each sender gets few
+// messages, so a batch fills only by waiting.
 func (s *Sender) waitsForBatch(m *message) bool {
 	p := m.dest.paths[0]
 	if m.attempts > 0 || m.dest.queue.Len() >= p.kind.MaxBatch || !p.limiter.limited() {
@@ -178,7 +180,7 @@
 		p.limiter.jitter = s.drawJitter()
 	}
 	e.ramp.calls.RecordOnly(s.now)
-	var timeout time.Duration // the messages of a call share its outcome
+	var timeout time.Duration // the longest of the messages' timeouts, because they are sent together
 	for _, n := range batch {
 		timeout = max(timeout, s.attemptTimeout(e, n, c.size))
 	}
--- a/policy/select.go
+++ b/policy/select.go
@@ -29,8 +29,8 @@
 	return best
 }
 
-// slotsScarce reports whether messages wait for slots. Slot time then costs more than a fee, so the faster
-// route is used.
+// slotsScarce reports whether there are more than twice as many messages in flight as slots. Slot time then
+// costs more than a fee, so the faster route is used.
 func (s *Sender) slotsScarce() bool { return s.queues.deadline.Len() > 2*s.settings.Slots }
 
 // preferred reports whether endpoint a is better than b for a message. The criteria, in order, are: not the
@@ -59,8 +59,9 @@
 }
 
 // canTake reports whether an endpoint may take a message now: a retry there is safe, the message may be used
-// as a probe if it would be one, and the recovery ramp has capacity. A probe leader needs no ramp capacity
-// for a probe, because no other sender probes; neither does a sender that receives no reports.
+// as a probe if it would be one, and the recovery ramp has capacity. Two kinds of senders need no ramp
+// capacity for a probe: a probe leader, because no other sender probes, and a sender that receives no
+// reports, because probeInterval keeps its probes within the ramp budget.
 func (s *Sender) canTake(e *endpoint, m *message) bool {
 	if !s.mayRetry(m, e) || (e.circuit.open || e.circuit.suspect) && !s.fitsProbe(m) || !s.isAvailable(e) {
 		return false
--- a/policy/sender.go
+++ b/policy/sender.go
@@ -12,8 +12,8 @@
 	// waitingCheckInterval is the longest time between two steps while messages wait in queues.
 	waitingCheckInterval = 20 * time.Millisecond
 	// minPacedAllotment is the allotment of calls in a narrow window above which the sender also wakes as
-	// soon as the spacing of calls on a path allows the next one: the gaps are then close to
-	// waitingCheckInterval.
+	// soon as the spacing of calls on a path allows the next one: the gaps are then at most
+	// twice waitingCheckInterval.
 	minPacedAllotment = 40
 )
 
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -6,7 +6,7 @@
 type Repeat int
 
 const (
-	// Idempotent messages may be repeated, and rejected, without restriction.
+	// Idempotent messages may be repeated without restriction, and rejected even if they may have run.
 	Idempotent Repeat = iota
 	// Deduplicated messages are dropped by a group of endpoints if they are repeated within a time window.
 	Deduplicated
@@ -63,7 +63,7 @@
 	Kinds         []Kind
 	ZoneFee       []float64 // by zone: fee for a message on a separate route, as a fraction of its value
 	RateAccuracy  RateAccuracy
-	MustSubscribe bool // endpoint list changes arrive only after a Subscribe, which internal/engine ignores
+	MustSubscribe bool // the sender requests the endpoint list by Subscribe, which internal/engine ignores
 	PeerMessages  bool // senders may notify each other
 
 	Slots       int // the maximum number of outstanding calls
@@ -95,7 +95,7 @@
 	OverloadWindow  time.Duration
 }
 
-// EndpointID identifies an endpoint within the node. Its value has no meaning.
+// EndpointID identifies an endpoint. It is the same on all nodes, because tags are derived from it.
 type EndpointID uint64
 
 // EndpointState is the state of an endpoint in the endpoint list. It implies nothing about its health.
@@ -120,7 +120,7 @@
 	Rate        float64 // calls a second from all senders together; see Settings.RateAccuracy
 	// AssignedRate is the part of the endpoint's rate limit that is assigned to this sender only, in calls a
 	// second. It applies from the step that receives it: to the endpoint if its destination has separate
-	// routes, otherwise to all endpoints of the destination. Calls before that step count too. 0 means that
+	// routes, otherwise to all endpoints of the destination. Calls before that step count in the windows too. 0 means that
 	// no rate is assigned: the sender then estimates the limit from rejections. NoCalls means that this
 	// sender may currently make no calls. Removed entries change no rate.
 	AssignedRate float64
@@ -168,8 +168,8 @@
 // TagBits is the size of a [Tag] in bits.
 const TagBits = 22
 
-// Tag identifies an endpoint in a message between senders. It is short because each bit of such a message has
-// a cost. In rare cases two endpoints have the same tag.
+// Tag identifies an endpoint in a message between senders. It is short because each report goes to all
+// nodes. In rare cases two endpoints have the same tag.
 type Tag uint32
 
 // tagMultiplier is 2^64 divided by the golden ratio: its products with close IDs differ in their high bits.
--- a/policy/shed.go
+++ b/policy/shed.go
@@ -8,7 +8,7 @@
 
 const (
 	// reservedFraction is the fraction of the in-flight capacity that is kept free: messages that arrive at
-	// full capacity are lost before the sender sees them.
+	// full capacity are rejected before the sender sees them, whatever their value.
 	reservedFraction = 0.15
 	// maxShedValue is the expected value, as a fraction of a message's full value, below which it may be
 	// given up to free capacity.
@@ -98,6 +98,7 @@
 	}
 	d.shedCandidate = candidate{}
 	delay, slotFactor := s.expectedQueueDelay(d), 1.0
+	// While all slots are in use, a message to a slow destination earns less per second of slot time.
 	if s.slots.outstanding >= s.settings.Slots && len(d.paths) > 0 {
 		slotFactor = min(1, s.slots.meanLatency/d.paths[0].latency.Mean.Seconds())
 	}
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -22,14 +22,14 @@
 	active    bool
 	startedAt Time             // when its recovery was first observed
 	calls     container.Window // contains only the last call
-	jitter    float64          // random factor on the time between calls, drawn for each
+	jitter    float64          // random factor on the time until the next call, drawn after each call or report
 }
 
 // start begins a ramp.
 func (r *recoveryRamp) start(now Time) { r.active, r.startedAt = true, now }
 
 // warmUpFactor returns a lower bound of the fraction of its capacity that a destination has now if it
-// recovered at a time.
+// recovered at recoveredAt.
 func (s *Sender) warmUpFactor(recoveredAt Time) float64 {
 	initial := max(minInitialCapacity, s.settings.InitialCapacity)
 	return estimate.WarmUpFactor(s.now-recoveredAt, s.settings.WarmUp, initial)
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -185,8 +185,8 @@
 			if share > 1 {
 				t.Errorf("got calls at %.2f times the overload threshold of the destination, want 1 at most", share)
 			}
-			// This check also counts calls of senders without a failed call: if a sender with an allotment of one
-			// call in 9 s has that call rejected, it makes no other one for a time.
+			// share counts only senders with a failed call, and these may pause: if a sender with an allotment of one
+			// call in 9 s has that call rejected, it makes no other one for a time. So all calls are checked too.
 			if max(share, sent) < 0.05 {
 				t.Errorf("got %.2f of the overload threshold and %.2f of the initial capacity used, want 0.05 at least of either", share, sent)
 			}
--- a/policy/step_test.go
+++ b/policy/step_test.go
@@ -13,7 +13,7 @@
 	Step(policy.Time, []policy.Event, []policy.Action) []policy.Action
 }
 
-// loadedModule drives an implementation that has a constant number of messages in flight and all slots in use. Each call
+// loadedModule drives a sender that has a constant number of messages in flight and all slots in use. Each call
 // of exchange is a step with one new message and one completed attempt.
 type loadedModule struct {
 	module       stepper
