--- a/decide/ratelimit/quota.go
+++ b/decide/ratelimit/quota.go
@@ -135,8 +135,8 @@
 // Exclusive reports whether the sender has an assigned share. It returns false for a nil Quota.
 func (q *Quota) Exclusive() bool { return q != nil && q.exclusive }
 
-// SuspendedFor returns how long the quota has been suspended, at least minSuspension. It returns 0 if the quota
-// is not suspended, and for a nil Quota.
+// SuspendedFor returns how long the quota is expected to stay suspended: as long as it has been so far, and at
+// least minSuspension. It returns 0 if the quota is not suspended, and for a nil Quota.
 func (q *Quota) SuspendedFor(now time.Duration) time.Duration {
 	if q == nil || !q.suspended {
 		return 0
--- a/internal/container/queue.go
+++ b/internal/container/queue.go
@@ -18,8 +18,8 @@
 	Class     int
 	CreatedAt int64  // creation time in nanoseconds; orders entries by age
 	Seq       uint64 // unique number; orders entries with the same creation time
-	// Plain is set if the value differs from other plain values only by its class and its age, so that it need not be
-	// considered individually. An entry that is not plain is distinct.
+	// Plain is set if the value is interchangeable with other plain values of the same class and age, so that it need
+	// not be considered individually. An entry that is not plain is distinct.
 	Plain bool
 
 	position         *list.Element // in Queue.all; nil if the entry is in no queue
--- a/internal/engine/directory.go
+++ b/internal/engine/directory.go
@@ -146,7 +146,7 @@
 	e.deps.Observations.SetEndpoints(all)
 }
 
-// publishDestinations passes the existing destinations to the admission if they have changed. A destination exists if it
+// publishDestinations passes the known destinations to Admission if they have changed. A destination is known if it
 // has an endpoint, or had one within vacantRetention.
 func (e *Engine) publishDestinations() {
 	if !e.destinationsChanged {
--- a/internal/engine/endpoints.go
+++ b/internal/engine/endpoints.go
@@ -52,7 +52,7 @@
 	vacant       map[int]vacantDestination
 
 	listComplete bool // a live list, or an assignment of endpoints, has been applied since this process started
-	// destinationsChanged is set if destinations or listComplete have changed since they were passed to the admission.
+	// destinationsChanged is set if destinations or listComplete have changed since they were passed to Admission.
 	destinationsChanged bool
 }
 
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -45,7 +45,7 @@
 	logPeerMessage = "note"
 )
 
-// Engine runs the decision module. Create one with [New], and call [Engine.SetDependencies] before [Engine.Run].
+// Engine runs the decision module, a [policy.Sender]. Create one with [New], and call [Engine.SetDependencies] before [Engine.Run].
 type Engine struct {
 	deps           Dependencies
 	sender         *policy.Sender
@@ -68,7 +68,7 @@
 
 	batch        []policy.Event          // input of the module's next step
 	actions      []policy.Action         // output of the module's step
-	observations []admission.Observation // not yet reported to the admission
+	observations []admission.Observation // not yet reported to Admission
 }
 
 // New returns an engine without dependencies.
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -375,7 +375,7 @@
 }
 
 // maxIdleBytes is the maximum memory of the engine for an idle destination with two endpoints, including names and
-// addresses. It excludes the memory of the module and the admission.
+// addresses. It excludes the memory of the module and of Admission.
 const maxIdleBytes = 440
 
 // The engine uses little memory for an idle destination, and does not retain the endpoint list.
@@ -401,7 +401,7 @@
 		}
 		e.handle(EndpointsChanged{List: list})
 	}()
-	e.batch = nil // excludes the memory of the module and the admission
+	e.batch = nil // excludes the memory of the module and of Admission
 	f.destinations = nil
 	used := (heapBytes() - before) / n
 	t.Logf("%d bytes per destination", used)
--- a/internal/engine/events.go
+++ b/internal/engine/events.go
@@ -70,7 +70,7 @@
 	return a
 }
 
-// observeAttempt updates the endpoint of a completed attempt, and reports the outcome to the admission and to peers.
+// observeAttempt updates the endpoint of a completed attempt, and reports the outcome to Admission and to peers.
 func (e *Engine) observeAttempt(completed policy.AttemptCompleted) {
 	endpoint := e.endpoints[completed.Endpoint]
 	if endpoint == nil {
--- a/internal/engine/step.go
+++ b/internal/engine/step.go
@@ -112,13 +112,13 @@
 	e.responses.add(store.Completion{Message: m, Response: message.FinalResponse{Kind: kind, RetryAfter: retryAfter}})
 }
 
-// remove removes a message that has a final response, and records its completion for the admission.
+// remove removes a message that has a final response, and records its completion for Admission.
 func (e *Engine) remove(m *message.Message) {
 	delete(e.messages, m.Seq)
 	e.observations = append(e.observations, admission.Observation{Kind: admission.MessageCompleted, Destination: m.Destination, Class: m.Class, MessageID: m.ID})
 }
 
-// reportObservations reports the observations since the last report to the admission.
+// reportObservations reports the observations since the last report to Admission.
 func (e *Engine) reportObservations() {
 	if len(e.observations) > 0 {
 		e.deps.Admission.Observe(e.observations)
--- a/internal/inflight/registry.go
+++ b/internal/inflight/registry.go
@@ -204,8 +204,8 @@
 	}
 }
 
-// HasDestination reports whether a destination exists. The result is certain if the directory has sent its complete list
-// since this process started.
+// HasDestination reports whether a destination exists. The result is certain once a live list, or an assignment
+// of endpoints, has been applied since this process started.
 func (r *Registry) HasDestination(destination int) (exists, certain bool) {
 	r.lock()
 	defer r.mu.Unlock()
--- a/policy/assignedrate_test.go
+++ b/policy/assignedrate_test.go
@@ -40,7 +40,8 @@
 	s.step(EndpointUpdate{Complete: true, Entries: []Entry{{Endpoint: 1, State: Ready, Rate: 20, AssignedRate: rate}}})
 }
 
-// step passes events to the sender. The destination responds to calls in the same step, with a reported duration of 10 ms.
+// step passes events to the sender. The destination responds to calls in the same step, with a reported duration of
+// 10 ms.
 func (s *assignedSender) step(events ...Event) {
 	for len(events) > 0 {
 		var next []Event
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -378,7 +378,8 @@
 			f.offer(1.2*limit, 4*time.Second)
 			_, later, _ := f.takeCounts()
 			// Until the level reaches the new limit there are about R (1-q) ln(1/q) rejections, where R is the former
-			// limit and q the fraction that remains: see docs/design/fleet.md. The calls of 1.5 s at the former limit are a margin for chance.
+			// limit and q the fraction that remains: see docs/design/fleet.md. The calls of 1.5 s at the former limit are a
+			// margin for chance.
 			bound := limit*(1-remaining)*math.Log(1/remaining) + 1.5*limit
 			if float64(first) > bound || later > limit {
 				t.Errorf("%d nodes, %.2f of the limit remaining: got %d calls rejected in 4 s and %d in the next 4 s, want %.0f and %d at most", nodes, remaining, first, later, bound, limit)
--- a/policy/probe.go
+++ b/policy/probe.go
@@ -38,8 +38,8 @@
 }
 
 // inheritOutage opens the circuit of an endpoint that is added to a path that has an open circuit and no
-// ready endpoint with a closed one. The new endpoint may be a replacement that is still warming up and must not get the full backlog
-// of the outage, so it is probed first.
+// ready endpoint with a closed one. The new endpoint may be a replacement that is still warming up and must
+// not get the full backlog of the outage, so it is probed first.
 func (s *Sender) inheritOutage(e *endpoint) {
 	anyOpen := false
 	for _, sibling := range e.path.endpoints {
--- a/policy/queue.go
+++ b/policy/queue.go
@@ -28,9 +28,9 @@
 	plainExpiryItem container.Item[*message]
 
 	attempts   int
-	call       *call // the call with the outstanding attempt, or nil
-	notBefore  Time  // end of its backoff
-	lastFailed *endpoint
+	call       *call     // the call with the outstanding attempt, or nil
+	notBefore  Time      // end of its backoff
+	lastFailed *endpoint // that of the last failed attempt, or nil
 
 	firstRunAt        Time  // when the first attempt that may have run was sent
 	firstRunZone      int32 // the zone to which it was sent
--- a/policy/ratelimit.go
+++ b/policy/ratelimit.go
@@ -55,8 +55,8 @@
 	// maxPauseDoublings keeps the doubled pause from overflowing.
 	maxPauseDoublings = 6
 
-	// A path is slow if its ratio of latency to baseline latency exceeds slowLatencyRatio times the same ratio
-	// of all paths.
+	// A path is slow if its ratio of latency to baseline latency exceeds slowLatencyRatio times the
+	// mean ratio of all paths.
 	slowLatencyRatio = 3
 	// A slow path may use 1/slowPathSlotDivisor of the slots.
 	slowPathSlotDivisor = 4
@@ -72,7 +72,7 @@
 	blockedUntil Time             // by Retry-After or a pause
 
 	allotmentBeforeRejections float64          // the allotment before the latest rejections in a row, or 0
-	congestion                estimate.Backoff // observed congestion, and the maximum length of its pause
+	congestion                estimate.Backoff // its Span is the maximum pause for congestion
 
 	advertisedRatePerSender float64 // in calls a second, or 0
 	safeRate                float64 // the lower bound of this sender's advertised or assigned rate
--- a/policy/registry.go
+++ b/policy/registry.go
@@ -24,7 +24,8 @@
 }
 
 func newRegistry(senders int) registry {
-	// For allotments below one call the windows are longer than wideWindow, by a factor of up to senders.
+	// For allotments below one call the windows are longer than wideWindow, by a factor of up to senders, and
+	// jitter lengthens them by up to 1.5 more.
 	return registry{
 		destinations: map[int]*destination{},
 		retention:    time.Duration(senders) * 2 * wideWindow,
@@ -40,7 +41,7 @@
 	number int
 	order  uint64 // its position in the order in which destinations were added
 	paths  []*path
-	active bool // its paths have traffic, and their endpoints health
+	active bool // its paths' traffic and their endpoints' health are allocated
 
 	*backlog // nil while it has no message
 }
@@ -56,11 +57,13 @@
 	// is idle.
 	advertisedRate  float64
 	assignedRate    float64
-	ratesReceivedAt Time   // when these rates were received
-	assumedCallAt   Time   // random time of a call that is counted but was not sent; see newPath
-	maxReady        uint32 // the maximum number of endpoints that were ready at the same time
-	kindIndex       uint16
-	zone            uint16
+	ratesReceivedAt Time // when these rates were received
+	// assumedCallAt is the random time of a call that is counted although none was sent, so that senders with
+	// shared quotas do not start together.
+	assumedCallAt Time
+	maxReady      uint32 // the maximum number of endpoints that were ready at the same time
+	kindIndex     uint16
+	zone          uint16
 
 	*traffic // nil while its destination is idle
 }
@@ -260,9 +263,10 @@
 
 // evict deletes removed endpoints and unused destinations. A removed endpoint is kept while a call to it is
 // outstanding, and for at least the longest time that a message may wait, so that a replacement added
-// meanwhile inherits its open circuit: see inheritOutage. The path of a separate route is deleted with its last
-// endpoint, and a shared path with its destination: once the destination has no message and has had no
-// endpoint for the retention, within which calls may still count in the path's windows.
+// meanwhile, which may still be warming up after an outage, inherits the open circuit: see inheritOutage. The
+// path of a separate route is deleted with its last endpoint, and a shared path with its destination: once
+// the destination has no message and has had no endpoint for the retention, within which calls may still
+// count in the path's windows.
 func (s *Sender) evict() {
 	if s.now < s.registry.evictAt {
 		return
--- a/policy/schedule.go
+++ b/policy/schedule.go
@@ -12,8 +12,8 @@
 	// The destinations with waiting messages share 1/evenShareDivisor of the slots evenly, if that is at
 	// least one slot for each. Without an even share the fastest destination would get all slots.
 	evenShareDivisor = 8
-	// A message waits at most batchWaitFraction of its soft deadline, less half the mean latency, for others to
-	// share its call.
+	// A message waits at most batchWaitFraction of its soft deadline, less half the mean latency, for others
+	// to share its call.
 	batchWaitFraction = 0.25
 	// maxRankedMessages is the length of a queue up to which all its messages are ranked. In longer queues
 	// only the messages that can be next are ranked.
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -95,7 +95,8 @@
 	OverloadWindow  time.Duration
 }
 
-// EndpointID identifies an endpoint. It is the same on all nodes, because tags are derived from it.
+// EndpointID identifies an endpoint. It must be the same on all nodes, because tags are derived
+// from it. Its value has no other meaning.
 type EndpointID uint64
 
 // EndpointState is the state of an endpoint in the endpoint list. It implies nothing about its health.
@@ -120,9 +121,9 @@
 	Rate        float64 // calls a second from all senders together; see Settings.RateAccuracy
 	// AssignedRate is the part of the endpoint's rate limit that is assigned to this sender only, in calls a
 	// second. It applies from the step that receives it: to the endpoint if its destination has separate
-	// routes, otherwise to all endpoints of the destination. Calls before that step count in the windows too. 0 means that
-	// no rate is assigned: the sender then estimates the limit from rejections. NoCalls means that this
-	// sender may currently make no calls. Removed entries change no rate.
+	// routes, otherwise to all endpoints of the destination. Calls before that step count in the windows too.
+	// 0 means that no rate is assigned: the sender then estimates the limit from rejections. NoCalls means
+	// that this sender may currently make no calls. Removed entries change no rate.
 	AssignedRate float64
 }
 
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -22,7 +22,7 @@
 	active    bool
 	startedAt Time             // when its recovery was first observed
 	calls     container.Window // contains only the last call
-	jitter    float64          // random factor on the time until the next call, drawn after each call or report
+	jitter    float64          // random factor on the time until the next call, with its batch cost
 }
 
 // start begins a ramp.
--- a/policy/timeout.go
+++ b/policy/timeout.go
@@ -61,8 +61,8 @@
 }
 
 // isStalled reports whether a call to an endpoint has been outstanding for longer than its stall limit
-// (stallLatencies, minStallTime), with no success of the endpoint since it was sent. A stall is detected before the call times out, and ended by a single late
-// success.
+// (stallLatencies, minStallTime), with no success of the endpoint since it was sent. A stall is detected
+// before the call times out, and ended by a single late success.
 func (s *Sender) isStalled(e *endpoint) bool {
 	limit := stallLatencies * max(1, s.slots.relativeLatency) * float64(e.path.latency.Mean)
 	return slices.ContainsFunc(e.calls, func(c *call) bool {
