--- a/internal/engine/contracts.go
+++ b/internal/engine/contracts.go
@@ -11,8 +11,8 @@
 	"wingmount/policy"
 )
 
-// Carrier makes calls to endpoints. When the attempt at a message of a call completes, the OnOutcome callback of the carrier's
-// [egress.Recorder] posts one [CompletedAttempt] to the engine.
+// Carrier makes calls to endpoints. When the attempt at a message of a call completes, the OnOutcome callback of the
+// carrier's [egress.Recorder] posts one [CompletedAttempt] to the engine.
 type Carrier interface {
 	// Start starts a call and returns without waiting for its outcome.
 	Start(ctx context.Context, call *egress.Call)
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -45,7 +45,8 @@
 	logPeerMessage = "note"
 )
 
-// Engine runs the decision module, a [policy.Sender]. Create one with [New], and call [Engine.SetDependencies] before [Engine.Run].
+// Engine runs the decision module, a [policy.Sender]. Create one with [New], and call [Engine.SetDependencies] before
+// [Engine.Run].
 type Engine struct {
 	deps           Dependencies
 	sender         *policy.Sender
--- a/internal/engine/events.go
+++ b/internal/engine/events.go
@@ -98,7 +98,8 @@
 	if leftToNextOwner(e.deps.Store, a.StoreErr) {
 		return
 	}
-	if m.FinalResponse != nil && !m.FinalResponse.Implied { // the store sets FinalResponse only if clients are notified of deliveries
+	// For a delivered message the store sets FinalResponse only if clients are notified of deliveries.
+	if m.FinalResponse != nil && !m.FinalResponse.Implied {
 		e.deps.Notifier.Add(m)
 	}
 }
--- a/internal/inflight/registry.go
+++ b/internal/inflight/registry.go
@@ -69,7 +69,7 @@
 	messages     map[string]reservation // by message ID
 	unfinished   map[int]int            // number of messages by destination, without zeros
 	destinations []uint32               // sorted; a slice, because it takes only 4 bytes for an idle destination
-	complete     bool                   // a live list, or an assignment of endpoints, has been applied since this process started
+	complete     bool                   // a live list or an assignment of endpoints was applied since this process started
 	closing      bool                   // each response is the last of its connection
 	shuttingDown bool                   // no message is accepted
 	counts       Counts
@@ -239,8 +239,8 @@
 }
 
 // Close makes Closing report true, so that ingress servers close each connection after its next response. With shutDown
-// the registry also rejects all new messages. When a node stops, it calls Close twice: first without shutDown, while it still
-// accepts messages.
+// the registry also rejects all new messages. When a node stops, it calls Close twice: first without shutDown, while it
+// still accepts messages.
 func (r *Registry) Close(shutDown bool) {
 	r.lock()
 	defer r.mu.Unlock()
--- a/policy/circuit.go
+++ b/policy/circuit.go
@@ -52,8 +52,8 @@
 	rejections            outlier.Score
 }
 
-// recordFailure applies a failure. connectionOnly means that the connection may have
-// failed rather than the endpoint.
+// recordFailure applies a failure. connectionOnly means that the connection may have failed
+// rather than the endpoint.
 func (c *circuitBreaker) recordFailure(now Time, weight float64, connectionOnly bool) {
 	c.suspect = true
 	c.unhealthySince = cmp.Or(c.unhealthySince, now)
@@ -223,8 +223,8 @@
 }
 
 // presumedDown reports whether a single error is treated as an outage: if no recent success and no report of
-// a peer contradicts it, and the ramp budget is less than one call. Without this rule,
-// hundreds of senders that each saw one failure would each send one more call to the endpoint.
+// a peer contradicts it, and the ramp budget is less than one call. Without this rule, hundreds of
+// senders that each saw one failure would each send one more call to the endpoint.
 func (s *Sender) presumedDown(e *endpoint) bool {
 	noRecentSuccess := s.now-e.circuit.lastSuccessAt >= outageWindows*s.settings.OverloadWindow
 	return e.circuit.errorSinceSuccess && noRecentSuccess && !s.receivesReports() &&
--- a/policy/outage_test.go
+++ b/policy/outage_test.go
@@ -9,8 +9,7 @@
 // runOutage simulates one sender for 40 s. 40 messages a second arrive for a destination that has an advertised rate,
 // enforces no limit, and rejects all calls without Retry-After from begin until recoveredAt. It returns the number of
 // delivered calls by second, the time since the start at which, after recoveredAt, fewer than 3 messages were first
-// undelivered (0 if never),
-// and the number of undelivered messages at the end.
+// undelivered (0 if never), and the number of undelivered messages at the end.
 func runOutage(t *testing.T, advertised float64, begin, recoveredAt policy.Time) (delivered map[int]int, caughtUpAt policy.Time, waiting int) {
 	t.Helper()
 	const (
--- a/policy/ratelimit.go
+++ b/policy/ratelimit.go
@@ -55,8 +55,8 @@
 	// maxPauseDoublings keeps the doubled pause from overflowing.
 	maxPauseDoublings = 6
 
-	// A path is slow if its ratio of latency to baseline latency exceeds slowLatencyRatio times the
-	// mean ratio of all paths.
+	// A path is slow if its mean latency exceeds slowLatencyRatio times its baseline latency. While latencies
+	// rise on all paths, the factor is multiplied by slotUsage.relativeLatency.
 	slowLatencyRatio = 3
 	// A slow path may use 1/slowPathSlotDivisor of the slots.
 	slowPathSlotDivisor = 4
--- a/policy/registry.go
+++ b/policy/registry.go
@@ -86,7 +86,7 @@
 	id             EndpointID
 	path           *path
 	older          *endpoint // see Link
-	stateChangedAt Time      // when it was last listed as ready, or stopped being ready
+	stateChangedAt Time      // when an endpoint list last had it as ready, or it stopped being ready
 	zone           int32
 	state          EndpointState
 
