--- a/internal/message/message.go
+++ b/internal/message/message.go
@@ -105,9 +105,9 @@
 	h.MayHaveRun = flags&flagMayHaveRun != 0
 }
 
-// KeyExpired reports whether a message that may have run must no longer be sent at the given time, because the window
-// for which the destination deduplicates has ended and the message may run a second time. A window of 0
-// never expires, because the destination does not deduplicate.
+// KeyExpired reports whether a message that may have run must no longer be sent at the given time: the window in which
+// the destination drops a repeated message is over, so it may run a second time. A window of 0 never expires, because
+// the destination does not deduplicate.
 func (h *History) KeyExpired(window time.Duration, at time.Time) bool {
 	return window > 0 && h.MayHaveRun && at.Sub(h.RanAt) >= window
 }
--- a/policy/registry.go
+++ b/policy/registry.go
@@ -25,7 +25,7 @@
 
 func newRegistry(senders int) registry {
 	// For allotments below one call the windows are longer than wideWindow, by a factor of up to senders, and
-	// jitter lengthens them by up to 1.5 more.
+	// jitter lengthens them by a further factor of up to 1.5.
 	return registry{
 		destinations: map[int]*destination{},
 		retention:    time.Duration(senders) * 2 * wideWindow,
--- a/policy/rules_test.go
+++ b/policy/rules_test.go
@@ -266,7 +266,7 @@
 }
 
 // checkSend fails the test if a send breaks a rule, and otherwise applies it and draws its outcome. Both maps are
-// keyed by endpoint: batchSizes has the number of messages in the last call of this step, callNumbers its number.
+// keyed by endpoint: batchSizes contains the size of the last call of this step, callNumbers its number.
 func (s *eventStream) checkSend(a Send, batchSizes, callNumbers map[EndpointID]int) {
 	m, e := s.messages[a.Message], s.entry(a.Endpoint)
 	fail := func(format string, args ...any) {
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -63,7 +63,7 @@
 	Kinds         []Kind
 	ZoneFee       []float64 // by zone: fee for a message on a separate route, as a fraction of its value
 	RateAccuracy  RateAccuracy
-	MustSubscribe bool // the sender requests the endpoint list by Subscribe, which internal/engine ignores
+	MustSubscribe bool // list changes arrive only after a Subscribe; internal/engine passes them without it
 	PeerMessages  bool // senders may notify each other
 
 	Slots       int // the maximum number of outstanding calls
