--- a/decide/lease/allocation.go
+++ b/decide/lease/allocation.go
@@ -108,7 +108,8 @@
 	return total
 }
 
-// targetQuota returns the quota of a role once rebalancing is complete: the full limit divided by weight, rounded down.
+// targetQuota returns the quota of a role once rebalancing is complete: the fraction of the full limit that the role's
+// weight is of the total weight, rounded down.
 func targetQuota(r role, totalWeight units) units { return fullLimit * r.weight() / totalWeight }
 
 // rebalance moves the quotas of a destination towards their targets. It lowers quotas at once, and raises them only by
--- a/decide/lease/grantor.go
+++ b/decide/lease/grantor.go
@@ -33,7 +33,7 @@
 }
 
 // NewGrantor returns a grantor whose grace period begins now. During the grace period it grants only reclaimed quotas.
-// Settings that are 0 get their defaults, except for Slack and Window.
+// Out-of-range settings get their defaults, see Config.
 func NewGrantor(now time.Duration, incarnation Incarnation, config Config) *Grantor {
 	config = config.withDefaults()
 	graceEnd := now + config.gracePeriod()
--- a/decide/lease/holder_test.go
+++ b/decide/lease/holder_test.go
@@ -367,8 +367,8 @@
 	}
 }
 
-// The destination counts calls over a window. If the grantor granted a released quota to another node earlier, the calls
-// of both nodes in one window could exceed the limit.
+// The destination counts calls over a window. If the grantor granted a released quota to another node before the window
+// has passed, the calls of both nodes in one window could exceed the limit.
 func TestReleasedQuotaIsGrantedWindowLater(t *testing.T) {
 	m, first, second := newLeasedModel(t)
 	m.grantor.SetOwners(m.now, 1, []placement.NodeID{"n1"})
--- a/decide/lease/lease.go
+++ b/decide/lease/lease.go
@@ -14,22 +14,23 @@
 // # Proof
 //
 // For each holder of a destination a grantor stores a reservation: the largest quota that the holder may use. Raising a
-// quota is the only step that raises a reservation, and it uses only available quota: the full limit less all
-// reservations (allocation.available). So the sum of the reservations is at most 1, and it suffices that no holder uses
-// more than its reservation. A reservation falls in three ways:
+// quota uses only available quota: the full limit less all reservations (allocation.available). The only other step that
+// raises a reservation is a reclaim after a restart. Reclaimed quotas were reserved by the earlier incarnation, so their
+// sum is at most 1. So the sum of the reservations is at most 1, and it suffices that no holder uses more than its
+// reservation. A reservation falls in three ways:
 //
 //  1. A lowered quota is confirmed. A reply names the version to which it brings the holder's assignments. The holder
-//     applies that version before it names it in a request. It applies only replies to its latest request whose changes
-//     start at its own version. So its version never decreases, and a holder that names a version uses no quota of an
-//     earlier one.
+//     applies that version before it names it in a request. It applies only replies to its latest request, and
+//     only if they contain all assignments or their changes start at its own version. So its version never decreases
+//     within a session, and a holder that names a version uses no quota of an earlier one.
 //  2. The holder releases the destination up to an epoch. It does not use a grant up to that epoch again, and a
 //     release counts only if it names the epoch of the latest grant: the epoch is a fencing token. A delayed or
 //     duplicate release that arrives after a later grant has no effect.
 //  3. The session has expired. The holder's lease counts from when it sent the request. The grantor's wait counts from
 //     when it answered, which is later, and lasts Duration/(1-MaxDrift) plus Slack by the grantor's clock. By then the
 //     holder's clock, which shows at least (1-MaxDrift) of that time, has passed the end of the lease. The grantor sends
-//     the session no reply after that. A session that a process ends itself (Closing, Replaces) belongs to a process
-//     that no longer uses any quota.
+//     the session no reply after that. A session that its own process closes (Closing) or that a later process
+//     replaces (Replaces) belongs to a process that no longer uses any quota.
 //
 // The amount by which a reservation falls becomes available only after Config.Window, the time over which a destination
 // counts its limit. So the sum over all holders of the largest quota that each could use within a window is at most 1
@@ -40,9 +41,9 @@
 // clock.
 //
 // Clocks: a holder's time comes from a monotonic clock. A step forward ends the lease earlier. If a holder observes a
-// step back, it ends the lease and drops the pending request, whose sending time is no longer meaningful. The agent's
-// clock (internal/control) is not set back or stopped by any step of the machine's clocks. If a grantor's clock is
-// stopped, the grantor waits longer.
+// step back, it ends the lease and drops the pending request, whose sending time is no longer meaningful. The clock
+// of internal/control does not go back when the machine's clock is set, and does not stop while the machine is
+// suspended. If a grantor's clock is stopped, the grantor waits longer.
 //
 // Restarts: each control process has a higher [Incarnation] than all before it. A new grantor begins with a grace
 // period as an NFS server does: until the longest lease of earlier incarnations has expired ([Grantor.GraceEnd]) it
--- a/decide/lease/message.go
+++ b/decide/lease/message.go
@@ -58,18 +58,19 @@
 	Epoch       Epoch                   `json:"epoch"`
 }
 
-// Request opens or renews a session. AppliedVersion confirms every quota of that version.
+// Request opens or renews a session. AppliedVersion confirms that the holder has applied all changes up to that
+// version.
 type Request struct {
 	Node        placement.NodeID `json:"node"`
 	Process     ProcessID        `json:"process"`
-	Incarnation Incarnation      `json:"incarnation"` // the highest one that the node has received
+	Incarnation Incarnation      `json:"incarnation"` // the highest one from which the node has received a reply
 	Session     SessionID        `json:"session"`
 	Sequence    uint64           `json:"sequence"` // increases with each request of a process
 	// AppliedVersion is the version of the holder's assignments. 0 requests all of them.
 	AppliedVersion Version `json:"applied"`
 	// Replaces is an earlier process of the node, which must have ended.
 	Replaces ProcessID `json:"replaces,omitempty"`
-	// Reclaiming means that Reclaims contains all assignments whose lease is valid.
+	// Reclaiming means that Reclaims contains all assignments of the holder, or none if its lease is not valid.
 	Reclaiming bool         `json:"claiming,omitempty"`
 	Reclaims   []Assignment `json:"claims,omitempty"`
 	// Unfinished lists destinations for which the node has accepted messages but has no assignment.
--- a/decide/lease/model_test.go
+++ b/decide/lease/model_test.go
@@ -196,7 +196,7 @@
 }
 
 // check returns an error if the sum of a destination's quotas exceeds the limit. It sums the largest quota of each process
-// within a window, because another process must not use again the quota that one has used in the same window. The sum
+// within a window, because no other process may use a quota in the window in which one process has used it. The sum
 // includes samples of processes that were killed since.
 func (m *model) check() error {
 	if m.violation != nil {
--- a/decide/lease/property_test.go
+++ b/decide/lease/property_test.go
@@ -108,8 +108,8 @@
 	}
 }
 
-// stepClock steps a process's clock by -30 to 30 s. The holder observes each step at once: its caller has to ensure that it
-// misses none.
+// stepClock steps a process's clock by -30 to 30 s. The holder reads the clock directly after the step,
+// because it detects a step back only between two readings.
 func (m *model) stepClock(c chooser, process *modelProcess) {
 	process.clock += time.Duration(c.intN(61, "clock step")-30) * time.Second
 	process.holder.Valid(process.clock)
--- a/decide/lease/quota.go
+++ b/decide/lease/quota.go
@@ -2,11 +2,11 @@
 
 import "math"
 
-// units is a quota as a number of fractions 1/fullLimit of a limit. Sums of integers are exact, and each value up to
-// fullLimit has an exact float64.
+// units is a quota in multiples of 1/fullLimit of a limit. Sums of integers are exact, and each value up to fullLimit
+// has an exact float64.
 type units int64
 
-// fullLimit is the quota that equals the full limit.
+// fullLimit is the number of units in a full limit.
 const fullLimit units = 1 << 24
 
 // fraction returns the quota as a fraction of the limit, 0 to 1.
