--- a/decide/leadership/doc.go
+++ b/decide/leadership/doc.go
@@ -19,9 +19,9 @@
 //
 //   - By its own clock, a leader grants leases until LeaderLease after it sent a candidacy or a renewal that was
 //     committed, or a request that all other members of the region voted for.
-//   - Another member proposes a candidacy no earlier than LeaderLease, lengthened for MaxDrift, after it applied the
-//     latest election or renewal, which is later than the sending; and no earlier than that duration after its latest
-//     vote.
+//   - While the region has a leader, another member proposes a candidacy no earlier than LeaderLease, lengthened for
+//     MaxDrift and Slack, after it applied the latest election or renewal, which is later than the sending; and no
+//     earlier than that duration after its latest vote.
 //   - A candidacy names the revision that it follows, and is void once the region's revision has changed. So a candidacy
 //     that was in flight for long does not replace a leader that has renewed in the meantime.
 //   - A leader can't extend its lease by votes while the candidacy of another member is in flight: that member does not
--- a/decide/leadership/leadership_test.go
+++ b/decide/leadership/leadership_test.go
@@ -116,7 +116,7 @@
 	}
 }
 
-// After a resignation the successor must become leader without waiting for the end of the lease. The only member of a
+// After a resignation the successor must become leader immediately, before the end of the lease. The only member of a
 // region must remain leader without the quorum and without votes.
 func TestSuccessorOfResignedLeaderLeadsAtOnce(t *testing.T) {
 	m := newModel(2, faults{})
--- a/decide/leadership/model_test.go
+++ b/decide/leadership/model_test.go
@@ -349,9 +349,9 @@
 	runsVariable = "LEADERSHIP_RUNS"
 )
 
-// Without the rules that the faults break, two processes lead at once. The model has to find each fault in faultRuns
-// random runs, and no violation in runs without a fault. Random steps rarely find the other faults, which have their own
-// tests: TestCandidacyOfEarlierProcessIsVoid, TestMemberUnknownToLeaderIsNotElected and
+// Without the rules that the faults break, two processes lead at the same time. The model has to find each fault in
+// faultRuns random runs, and no violation in runs without a fault. Random steps rarely find the other faults, which have
+// their own tests: TestCandidacyOfEarlierProcessIsVoid, TestMemberUnknownToLeaderIsNotElected and
 // TestRepeatedJoinOfEarlierProcessIsVoid.
 func TestModelFindsInjectedFaults(t *testing.T) {
 	for _, test := range []struct {
--- a/decide/leadership/propose.go
+++ b/decide/leadership/propose.go
@@ -51,7 +51,7 @@
 }
 
 // renewalDue reports whether a leader has to renew its lease: it has no lease, 1/renewalsPerLease of the lease has
-// passed, or a proposal is in flight.
+// passed, or an earlier proposal is in flight without effect and has to be repeated.
 func (e *Elector) renewalDue(now ClockReading) bool {
 	renewAt := e.leaseExpiry - e.term.LeaderLease + e.term.LeaderLease/renewalsPerLease
 	return e.leaseExpiry <= 0 || now.Latest >= renewAt || len(e.inFlight) > 0
--- a/decide/leadership/state.go
+++ b/decide/leadership/state.go
@@ -27,7 +27,7 @@
 
 // Revision identifies a state of a region: each election, renewal and resignation changes it.
 type Revision struct {
-	Leader      MemberID          `json:"holder"` // 0 means no leader; a lease.Holder belongs to a node instead
+	Leader      MemberID          `json:"holder"` // 0 means no leader; the JSON name is unrelated to lease.Holder
 	Incarnation lease.Incarnation `json:"incarnation"`
 	Renewals    uint64            `json:"renewals"` // number of renewals under Incarnation
 }
