--- a/decide/placement/balance.go
+++ b/decide/placement/balance.go
@@ -24,8 +24,9 @@
 // maxRebalanceRounds limits how often rebalance repeats its steps; more than two rounds are rarely needed.
 const maxRebalanceRounds = 16
 
-// rebalance moves slots until the load of every node is between its lower and upper bound, or until it finds neither
-// a single move nor a chain of two moves that improves the balance.
+// rebalance moves slots until the load of every node is at least its lower bound and, without its largest slot, at most
+// its upper bound. It stops earlier if it finds neither a single move nor a chain of two moves that improves the
+// balance, or after maxRebalanceRounds.
 func (b *builder) rebalance() {
 	for range maxRebalanceRounds {
 		movedFrom := b.moveFromOverloaded()
--- a/decide/placement/builder.go
+++ b/decide/placement/builder.go
@@ -4,9 +4,10 @@
 
 // builder computes one table.
 //
-// A destination is large if its slot load exceeds largeFraction of the mean fair load of a node, and hot if its slot
-// load exceeds that mean. Large destinations are placed first. The fair loads of the other destinations are then
-// computed with the large loads as a base, so that each remaining slot load is small compared with the bounds.
+// A destination is large if its slot load exceeds largeFraction of the mean of the fair loads of the nodes in its
+// scope, and hot if its slot load exceeds that mean. Large destinations are placed first. The fair loads of the other
+// destinations are then computed with the large loads as a base, so that each remaining slot load is small compared
+// with the bounds.
 type builder struct {
 	*Table
 	*topology
--- a/decide/placement/explain.go
+++ b/decide/placement/explain.go
@@ -30,8 +30,8 @@
 	Region string
 	Zone   string
 	Reason Reason
-	// Load is the load of the node, Fair its fair load and Limit the maximum load with which it can become an owner, in
-	// messages a second.
+	// Load is the load of the node, Fair its fair load and Limit its load limit, with which ReasonLoadBound compares
+	// the sum of Load and the slot load, in messages a second.
 	Load, Fair, Limit float64
 }
 
@@ -44,7 +44,7 @@
 	Wanted int     // requested number of owners
 	Region string
 	Owners []NodeID
-	// Hot reports whether the slot load exceeds the mean fair load of a node.
+	// Hot reports whether the slot load exceeds the mean of the fair loads of the nodes in the scope.
 	Hot bool
 	// Candidates contains all nodes: first the eligible ones, best ranked first, then the others by ID.
 	Candidates []Candidate
--- a/decide/placement/large.go
+++ b/decide/placement/large.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// largeFraction is the fraction of the mean fair load of a node above which a slot load is large.
+// largeFraction is the fraction of the mean of the fair loads in a scope above which a slot load is large.
 const largeFraction = 0.25
 
 // findLargeDestinations records the large and the hot destinations.
--- a/decide/placement/table.go
+++ b/decide/placement/table.go
@@ -113,8 +113,9 @@
 	return t.fairLoads[node].rate()
 }
 
-// Hot returns the destinations whose slot load exceeds the mean fair load of a node, in ascending order. Their owners
-// receive almost no other load. Requesting more owners for such a destination would divide its load further.
+// Hot returns the destinations whose slot load exceeds the mean of the fair loads of the nodes in their scope, in
+// ascending order. Their owners receive almost no other load. Requesting more owners for such a destination would
+// divide its load further.
 func (t *Table) Hot() []DestinationID {
 	if t == nil {
 		return nil
