--- a/decide/admission/admission.go
+++ b/decide/admission/admission.go
@@ -11,7 +11,9 @@
 //   - checkDeadline: the destination must accept the message in time. By Little's law the wait is the number of messages
 //     ahead of it divided by the rate at which the destination accepts calls.
 //
-// A rate is measured only while messages wait. Until it is known, it causes no rejection.
+// The rate of a destination is measured only while messages wait for it. Until it is known, it causes no rejection by
+// checkDeadline. The delivery rate of the node is measured at all times. Until it is known, checkSaturation uses the
+// time since the saturation began.
 //
 // # Concurrency
 //
--- a/decide/admission/boundaries_test.go
+++ b/decide/admission/boundaries_test.go
@@ -90,7 +90,7 @@
 		name      string
 		after     time.Duration
 		delivered int
-		want      Reason // for a message after 3,000 others that may wait for 110 s; the wait is 100 s at 30 a second
+		want      Reason // for a message that may wait for 110 s, with 3,000 ahead of it: at 30 a second it waits 100 s
 	}{
 		{"seven", 700 * time.Millisecond, 7, Admitted},
 		{"eight, slower than before", 700 * time.Millisecond, 8, TooLate}, // 30 + 0.25 * (11.4 - 30): 119 s
@@ -111,7 +111,7 @@
 	for _, test := range []struct {
 		name           string
 		sampleDuration time.Duration
-		want           Reason // for a message after 1,000 others that may wait for 10 s; the wait is 5 s at 200 a second, 33 s at 30
+		want           Reason // for a message that may wait for 10 s, with 1,000 ahead: 5 s at 200 a second, 33 s at 30
 	}{
 		{"before the shortest sample", 100*time.Millisecond - tick, TooLate},
 		{"at the shortest sample", 100 * time.Millisecond, Admitted},
@@ -224,7 +224,7 @@
 func TestRetryAfterIsLimited(t *testing.T) {
 	for _, test := range []struct {
 		name             string
-		retryAfter, want time.Duration // from the destination, and to the client; the message may wait for 10 s
+		retryAfter, want time.Duration // the destination's Retry-After, and the client's; the message may wait for 10 s
 	}{
 		{"below the minimum", 10*time.Second + tick, 100 * time.Millisecond},
 		{"the minimum", 10*time.Second + 100*time.Millisecond, 100 * time.Millisecond},
@@ -262,7 +262,7 @@
 	for _, test := range []struct {
 		name  string
 		after time.Duration
-		want  time.Duration // retry delay of a message after 1,030 others that may wait for 20 s
+		want  time.Duration // retry delay of a message that may wait for 20 s, with 1,030 ahead of it
 	}{
 		{"immediately", 0, 31500 * time.Millisecond},                     // 1,030 at 20 a second; limited to 30 s below
 		{"after two seconds", 2 * time.Second, 19132 * time.Millisecond}, // 1,030 at 26.32 a second
@@ -374,7 +374,7 @@
 	for _, test := range []struct {
 		name string
 		lag  time.Duration
-		want Reason // for a message after 100 others at 10 a second that may wait for 10.4 s
+		want Reason // for a message that may wait for 10.4 s, with 100 ahead of it at 10 a second
 	}{
 		{"within the allowed wait", 400 * time.Millisecond, Admitted},
 		{"beyond the allowed wait", 400*time.Millisecond + tick, Saturated},
--- a/decide/admission/engineload.go
+++ b/decide/admission/engineload.go
@@ -97,8 +97,8 @@
 	return e.load.Lag + durationFromSeconds(float64(inFlight-e.inFlightToFailing)/rate)
 }
 
-// retryAfter returns the delay for a client whose message's expected wait for the engine exceeds the allowed wait by
-// excess. A stall is expected to last for as long as it has lasted so far.
+// retryAfter returns the delay for a client whose message was rejected because its expected wait for the engine is too
+// long by excess. A stall is expected to last for as long as it has lasted so far.
 func (e *engineState) retryAfter(now Time, excess time.Duration) time.Duration {
 	if e.load.stalled() {
 		excess = e.load.Lag
--- a/decide/admission/rules.go
+++ b/decide/admission/rules.go
@@ -4,21 +4,20 @@
 
 const (
 	// CapacityFactor is the multiple of the free capacity that one destination may use with messages of the highest
-	// weight. If n destinations are overloaded, Capacity/(1+n*CapacityFactor) of the capacity stays free for the
-	// others.
+	// weight. If n destinations are overloaded, 1/(1+n*CapacityFactor) of the capacity stays free for the others.
 	CapacityFactor = 8
 	// minCapacityFactorFraction is the smallest fraction of CapacityFactor that applies to a class.
 	minCapacityFactorFraction = 1.0 / 16
 	// MaxWaitFraction is the maximum expected wait as a fraction of the time until the deadline. The remainder allows
 	// for falling rates, failing calls and the call itself.
 	MaxWaitFraction = 0.5
-	// minCallsLeft is the time that must remain when a message is sent, in mean call durations.
+	// minCallsLeft is the number of mean call durations that must remain when a message is sent.
 	minCallsLeft = 4
 	// minRateFraction is the fraction of a rate that is available to each class, regardless of the admitted messages
 	// of higher weight.
 	minRateFraction = 1.0 / 16
-	// minTrialMessages is the number of messages that a destination in an outage may have in flight: without a
-	// message to send, the node would not detect the end of the outage.
+	// minTrialMessages is the number of messages that a failing destination may have in flight even if the expected
+	// outage is too long: without a message to send, the node would not detect the end of the outage.
 	minTrialMessages = 4
 )
 
