--- a/decide/gossip/disseminate.go
+++ b/decide/gossip/disseminate.go
@@ -102,8 +102,9 @@
 	}
 }
 
-// expirePending removes reports that would be too old to count when they arrive. It schedules reports that were sent
-// to all peers for another round after RefreshInterval, since datagrams can be lost.
+// expirePending removes reports that would be too old to count when they arrive, and reports that only contradict a
+// peer's report once they were sent to all peers. It schedules other reports that were sent to all peers for another
+// round after RefreshInterval, since datagrams can be lost.
 func (c *Core) expirePending(now time.Duration, present int) {
 	c.pending = slices.DeleteFunc(c.pending, func(o *observedEndpoint) bool {
 		r := &o.report
--- a/decide/gossip/effects.go
+++ b/decide/gossip/effects.go
@@ -53,7 +53,9 @@
 		c.suspected[id], o.failedSinceEffect = true, false
 		c.effects = append(c.effects, Effect{Endpoint: id, Down: true, ProbePause: c.probePause()})
 	case !isSuspected:
-		delete(c.suspected, id) // ended by a call of this node or by expired reports; this node's own probes decide
+		// The suspicion ended because a call of this node succeeded or because reports no longer suffice. There is no
+		// effect: this node's own probes decide when it sends again.
+		delete(c.suspected, id)
 	}
 }
 
--- a/decide/gossip/gossip.go
+++ b/decide/gossip/gossip.go
@@ -4,8 +4,9 @@
 //
 // It guarantees, in addition to the guarantees of those two packages:
 //   - a node reports only its own calls, never those of another node;
-//   - a node sends no reports while nothing changes: it reports an endpoint when its calls start to fail or to
-//     succeed, repeatedly while they fail, and when they succeed although a peer reports failures;
+//   - a node sends no reports on an endpoint to which its calls have never failed, unless a peer reports failures: it
+//     reports an endpoint when its calls start to fail or to succeed again, repeats that report every RefreshInterval
+//     while it makes calls, and reports when its calls succeed although a peer reports failures;
 //   - reports count toward the packet rate limit of membership, and membership's responses take precedence over them;
 //   - memory is bounded by the configured endpoints and peers.
 //
