--- a/decide/evidence/evidence.go
+++ b/decide/evidence/evidence.go
@@ -2,7 +2,8 @@
 // no I/O, reads no clock, draws no random numbers and starts no goroutines.
 //
 // It guarantees, whatever peers send:
-//   - fewer peers than a quorum, see [Quorum], never change the rate at which this node sends to an endpoint;
+//   - fewer peers than a quorum, see [Quorum], never lower the rate at which this node sends to an endpoint; a single
+//     peer can only start the slow start of an endpoint that is suspected or to which this node's calls fail;
 //   - no number of peers changes that rate while this node's last call succeeded and ended within
 //     [Settings].OwnSuccessTime;
 //   - a suspicion changes nothing by itself: package decide/gossip returns it as an effect, and its caller applies the
@@ -50,7 +51,7 @@
 	ProbeInterval    time.Duration // maximum interval between probes to a suspected endpoint
 	MaxEndpoints     int           // maximum number of endpoints with stored reports
 	MaxPeers         int           // maximum number of members; weights of twice as many peers are stored
-	MaxReports       int           // maximum number of stored reports, the newest per peer and endpoint, in equal quotas
+	MaxReports       int           // maximum number of reports, the newest per peer and endpoint; members have equal parts
 }
 
 // Defaults returns the settings of a node in an availability zone.
@@ -75,8 +76,7 @@
 // storedReport is the latest report of a peer on an endpoint.
 type storedReport struct {
 	Report
-	// since is the end of the first report in the current series of consecutive reports that agree and have not been
-	// evaluated.
+	// since is the To of the first of the peer's latest consecutive reports that agree and have not been evaluated.
 	since     time.Duration
 	evaluated bool // a call of this node has confirmed or refuted it
 }
--- a/decide/evidence/reputation.go
+++ b/decide/evidence/reputation.go
@@ -75,7 +75,7 @@
 	v.deleteReputations(now)
 }
 
-// deleteReputations deletes reputations of peers that have left until maxReputations is met.
+// deleteReputations deletes reputations of peers that have left until at most maxReputations remain.
 func (v *Evaluator) deleteReputations(now time.Duration) {
 	left := slices.DeleteFunc(slices.Sorted(maps.Keys(v.peers)), func(p Peer) bool { return v.members[p] })
 	for _, p := range left {
