--- a/decide/membership/membership.go
+++ b/decide/membership/membership.go
@@ -82,7 +82,8 @@
 	return n
 }
 
-// SetNames sets the nodes that may be members: those with a key. It deletes all others from the view.
+// SetNames sets the nodes that may be members: those whose public key the caller knows. It deletes all others from the
+// view.
 func (n *Node) SetNames(all []Peer) {
 	n.names = map[Peer]bool{}
 	for _, p := range all {
@@ -137,7 +138,8 @@
 }
 
 // Leave announces that this node leaves the cluster, and returns the packets to send. It notifies a few members at
-// once; the digest of every later packet also marks the node as left.
+// once. The digest of every later packet includes the status Left, so it differs from the recipient's and both exchange
+// their views.
 func (n *Node) Leave(now time.Duration) []Outgoing {
 	n.leaving = true
 	n.broadcast(Update{Member: n.settings.Self, Status: Left, Incarnation: n.incarnation})
--- a/decide/membership/membership_test.go
+++ b/decide/membership/membership_test.go
@@ -444,8 +444,8 @@
 	})
 }
 
-// A node whose own probe of a suspected member fails confirms the suspicion. The suspicion therefore lasts only a few
-// probe periods longer, however fast its first broadcast spread.
+// A node whose own probe of a suspected member fails confirms the suspicion. The confirmations shorten the suspicion to
+// a few probe periods above its minimum, however fast its first broadcast spread.
 func TestFailedProbesConfirmSuspicion(t *testing.T) {
 	for seed := range uint64(3) {
 		c := newConvergedCluster(t, 30+seed, 100)
@@ -501,9 +501,8 @@
 }
 
 // BenchmarkFalsePositives measures the suspicions that a node starts per hour, and the members that a node considers
-// dead at the end of a pause although they were paused neither in that pause nor in the two before. Packet loss is
-// 5%, and one node in a hundred is paused at any time, for ten seconds each. It runs with and without Lifeguard's
-// refinements.
+// dead although they were not paused in the last three pauses. Packet loss is 5%, and one node in a hundred is paused
+// at any time, for ten seconds each. It runs with and without Lifeguard's refinements.
 func BenchmarkFalsePositives(b *testing.B) {
 	for _, plainSWIM := range []bool{false, true} {
 		b.Run(fmt.Sprint("plain=", plainSWIM), func(b *testing.B) {
--- a/decide/membership/packet.go
+++ b/decide/membership/packet.go
@@ -39,7 +39,7 @@
 	Kind    Kind
 	Seq     uint32 // sequence number of the probe; a response has that of its request
 	Target  Peer   // set in PingReq and its responses
-	Digest  uint64 // hash of the sender's view of all members
+	Digest  uint64 // hash of the sender's own state and of the members that it considers present
 	Updates []Update
 }
 
--- a/decide/membership/probe.go
+++ b/decide/membership/probe.go
@@ -89,8 +89,8 @@
 // scaleByHealth multiplies a duration by the local health plus one, which extends it while this node is unhealthy.
 func (n *Node) scaleByHealth(d time.Duration) time.Duration { return d * time.Duration(n.health+1) }
 
-// suspicionTimeout returns the duration of a suspicion. It decreases from Beta times the minimum to the minimum of
-// Alpha·log10(members) periods as more members confirm the suspicion.
+// suspicionTimeout returns the duration of a suspicion. As more members confirm the suspicion, it decreases from the
+// longest duration, Beta times the shortest, to the shortest, Alpha·logScale(members) periods.
 func (n *Node) suspicionTimeout(m *member) time.Duration {
 	shortest := n.settings.Alpha * logScale(n.size()) * float64(n.settings.Period)
 	longest := n.settings.Beta * shortest
--- a/decide/membership/settings.go
+++ b/decide/membership/settings.go
@@ -6,7 +6,7 @@
 type Settings struct {
 	Self             Peer
 	Seeds            []Peer
-	Incarnation      uint64        // must exceed every earlier one of this name, also from before a restart
+	Incarnation      uint64        // must exceed every earlier incarnation of this node, also from before a restart
 	Period           time.Duration // time between two probes
 	Timeout          time.Duration // time to wait for an Ack before indirect probes; must be below Period
 	IndirectProbes   int           // number of members asked to probe a target indirectly
