--- a/decide/polling/polling.go
+++ b/decide/polling/polling.go
@@ -4,12 +4,12 @@
 // It does no I/O and reads no clock. A [Schedule] is safe for concurrent use if its random source is; the node uses
 // it from one goroutine.
 //
-// # The two bounds
+// # MaxSpread and PropagationBound
 //
-// A directory that many nodes share rejects calls when it is overloaded, so calls are spread over time. However, a
-// change must reach each node within [PropagationBound] after the directory has it and is reachable, regardless of
-// the outcome of earlier calls, so the delay between calls is limited. The second bound takes precedence: calls are
-// spread only as far as it permits.
+// A directory that many nodes share rejects calls when it is overloaded, so calls are spread over up to [MaxSpread].
+// However, a change must reach each node within [PropagationBound] after the directory has it and is reachable,
+// regardless of the outcome of earlier calls, so the delay between calls is limited. PropagationBound takes precedence:
+// calls are spread only as far as it permits.
 //
 // A node polls with a call that waits for a change ([Schedule.ChangeTimeout]). If a call is in progress when a change
 // occurs, then regardless of its outcome the response to the next call must arrive within the bound. If the first
@@ -38,7 +38,7 @@
 	// MinInterval is the minimum time between two calls of a node.
 	MinInterval = 50 * time.Millisecond
 
-	// spreadPerNode is the average time between two calls from all nodes together to a directory that rejects them.
+	// spreadPerNode times the number of nodes, at most MaxSpread, is the time over which one call per node is spread.
 	spreadPerNode = 100 * time.Millisecond
 	// smallFleetRetryRange limits the range from which the delays of a small fleet are drawn. Larger fleets use
 	// longer ranges.
@@ -59,10 +59,10 @@
 	agentChangeTimeout   = 2 * time.Second
 	agentResponseTimeout = time.Second
 
-	// callOverhead is the duration of a call in addition to its timeouts.
+	// callOverhead is how much longer a call may take than its timeouts allow.
 	callOverhead = 200 * time.Millisecond
 	// maxRejectedRange and maxTimeoutRange limit the range of the delay after a rejected call, and after a call that
-	// failed in another way. They follow from the two bounds in the package comment.
+	// failed in another way. They follow from the sums in the package comment.
 	maxRejectedRange = PropagationBound - listTimeout - MinInterval - callOverhead
 	maxTimeoutRange  = PropagationBound - changeTimeout - changeResponseTimeout - listTimeout - MinInterval - callOverhead
 )
