--- a/decide/rules/compile_rule.go
+++ b/decide/rules/compile_rule.go
@@ -79,13 +79,15 @@
 			ec.checkDeduplicationKey(from, to, key, report)
 		}
 	}
-	// A rule for several kinds may weaken the guarantee of only one of them.
+	// A rule for several kinds needs relaxes if it weakens the guarantee of at least one of them, so only a rule for one
+	// kind is checked.
 	if spec.Relaxes && !relaxed && len(spec.For) == 1 {
 		report("relaxes", "no class of the rule gives a weaker guarantee")
 	}
 }
 
-// isWeaker reports whether the setting to allows repeats that would be harmful with the setting from.
+// isWeaker reports whether a class with the setting to allows repeats that may be harmful in a class with the setting
+// from.
 func isWeaker(from, to policy.Repeat) bool {
 	byHarm := []policy.Repeat{policy.Idempotent, policy.Deduplicated, policy.AtMostOnce}
 	return slices.Index(byHarm, to) < slices.Index(byHarm, from)
--- a/decide/rules/rules.go
+++ b/decide/rules/rules.go
@@ -56,7 +56,7 @@
 // InvalidMessageError reports a message that can't be evaluated: its body does not match the declaration, its client's
 // key has the form of a computed key, or a rule failed or returned an invalid key.
 type InvalidMessageError struct {
-	Place  string // in the body or in the rules, or Idempotency-Key
+	Place  string // of the error: in the body, a setting of a rule, or the header Idempotency-Key
 	Reason string // sent to the client
 	Cost   uint64 // cost units used up to the error
 	// reservedKey means that the client's key has the form of a computed key. Such a message is rejected even with
--- a/decide/rules/spec.go
+++ b/decide/rules/spec.go
@@ -75,5 +75,5 @@
 	WantRule    string `toml:"want_rule"`   // name of the rule; empty means that no rule matches
 	WantClass   string `toml:"want_class"`  // empty means the class of the message
 	WantKey     string `toml:"want_key"`    // empty means any
-	WantInvalid bool   `toml:"want_misfit"` // the body does not match its declaration
+	WantInvalid bool   `toml:"want_misfit"` // the message can't be evaluated, see InvalidMessageError
 }
