--- a/decide/rollout/key.go
+++ b/decide/rollout/key.go
@@ -37,7 +37,7 @@
 
 const (
 	olderGeneration   age = iota // generations before the current one
-	currentGeneration            // the current generation, and all messages while no rollout is in progress
+	currentGeneration            // the current generation
 )
 
 // keyState is the use of one key by messages.
--- a/decide/rollout/ledger.go
+++ b/decide/rollout/ledger.go
@@ -56,9 +56,9 @@
 	evictedUntil time.Duration
 }
 
-// New returns a ledger with capacity for limit messages and limit keys. At the limit Admit returns Full, while Adopt
-// exceeds it. recovered is the time until which hashes of an earlier process, whose messages completed before time 0,
-// may be in use, by kind.
+// New returns a ledger for at most limit messages and limit keys. At the limit of messages Admit returns Full, while
+// Adopt exceeds it. recovered is the time until which hashes of an earlier process, whose messages completed before
+// time 0, may be in use, by kind.
 func New(limit int, recovered [KindCount]time.Duration) *Ledger {
 	return &Ledger{limit: max(1, limit), entries: map[string]entry{}, keys: map[KeyHash]*keyState{}, recovered: recovered}
 }
