--- a/internal/ruleset/manager.go
+++ b/internal/ruleset/manager.go
@@ -98,7 +98,7 @@
 }
 
 // Open returns a manager with the persisted rules and starts a change to the rules of the rule file. At the first start
-// the rules of the file are active at once.
+// the rules of the file are active at once. Without a record after an earlier start, the change begins with no rules.
 func Open(c Config) (*Manager, error) {
 	if c.LedgerCapacity == 0 {
 		c.LedgerCapacity = defaultLedgerCapacity
