--- a/decide/gossip/return_test.go
+++ b/decide/gossip/return_test.go
@@ -124,7 +124,7 @@
 		maxRatio, first := 0.0, time.Duration(0)
 		for i, at := range s.calls {
 			if at < recoveredAt || first > 0 && at-first > settings.WarmUp {
-				// After the warm-up only rejections lower the limit of calls in flight, and this endpoint rejects none.
+				// After the warm-up only rejections lower the sender's rate limit, and this endpoint rejects none.
 				continue
 			}
 			if first == 0 {
