--- a/decide/membership/send.go
+++ b/decide/membership/send.go
@@ -6,8 +6,8 @@
 const responseReserveDivisor = 4
 
 // send queues a packet with as many updates as fit, unless the rate limit is reached. Responses may use the full
-// limit; probes leave a quarter of it to responses. If differs is set, the packet also
-// contains a part of this node's view, because the recipient's may differ.
+// limit; probes leave a quarter of it to responses. If differs is set, the packet also contains a part of this node's
+// view, because the recipient's may differ.
 func (n *Node) send(now time.Duration, to Peer, p Packet, differs bool) {
 	if s := now.Truncate(time.Second); s != n.sentSecond {
 		n.sentSecond, n.sentCount = s, 0
