--- a/internal/clusterspec/delta.go
+++ b/internal/clusterspec/delta.go
@@ -20,7 +20,8 @@
 	changed.setDefaults()
 }
 
-// Append adds the changes of a later delta.
+// Append adds the elements of a later part of the same delta (see Split). It does not chain independent deltas, since
+// Apply does all removals first.
 func (d *Delta) Append(later Delta) {
 	d.Nodes = append(d.Nodes, later.Nodes...)
 	d.RemovedNodes = append(d.RemovedNodes, later.RemovedNodes...)
@@ -58,7 +59,8 @@
 // builds an index of all elements.
 const maxLinearSearches = 16
 
-// replaceByKey replaces elements with the changed ones of the same key, and appends new ones. It modifies all.
+// replaceByKey replaces elements with the changed ones of the same key, and appends new ones. It modifies the
+// slice all in place.
 func replaceByKey[K comparable, V any](all, changed []V, key func(*V) K) []V {
 	if len(changed) <= maxLinearSearches {
 		for i := range changed {
@@ -88,7 +90,7 @@
 	return all
 }
 
-// Diff returns the delta that changes from into to.
+// Diff returns the delta that turns the spec from into the spec to.
 func Diff(from, to *Spec) Delta {
 	var delta Delta
 	delta.Nodes, delta.RemovedNodes = diffByKey(from.Nodes, to.Nodes,
@@ -98,8 +100,8 @@
 	return delta
 }
 
-// diffByKey returns the elements of to that are new or differ from the element of from with the same key, in the order
-// of to, and the keys that only from contains, in the order of from.
+// diffByKey compares an old slice (from) with a new one (to). It returns the new and changed elements of the new slice,
+// and the keys that only the old slice contains, each in the order of its slice.
 func diffByKey[K comparable, V any](from, to []V, key func(*V) K, equal func(a, b *V) bool) (changed []V, removed []K) {
 	remaining := make(map[K]*V, len(from))
 	for i := range from {
--- a/internal/clusterspec/parse.go
+++ b/internal/clusterspec/parse.go
@@ -9,10 +9,10 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// MaxBytes is the maximum size of a settings file, and of a change of a spec.
+// MaxBytes is the maximum size of a spec file, and of a change of a spec.
 const MaxBytes = 128 << 20
 
-// Load reads a settings file, sets defaults and validates it: see Parse.
+// Load reads a spec file, sets defaults and validates it: see Parse.
 func Load(path string) (*Spec, error) {
 	info, err := os.Stat(path)
 	if err != nil {
@@ -32,7 +32,7 @@
 	return spec, nil
 }
 
-// Parse decodes the text of a settings file (TOML), sets defaults, and validates it. An unknown key is an error. The
+// Parse decodes the text of a spec file (TOML), sets defaults, and validates it. An unknown key is an error. The
 // returned error joins up to maxErrors faults.
 func Parse(text []byte) (*Spec, error) {
 	if len(text) > MaxBytes {
@@ -71,13 +71,14 @@
 	return err
 }
 
-// typeError is a decoder error. Its text has the reported names of Go types and fields: see reportedNames.
+// typeError wraps a decoder error of any kind. Its text contains the former names of Go types and fields: see
+// reportedNames.
 type typeError struct{ err error }
 
 func (e typeError) Error() string { return reportedNames.Replace(e.err.Error()) }
 func (e typeError) Unwrap() error { return e.err }
 
-// reportedNames replaces names of Go types and fields in decoder errors. Operators see these texts, so renaming the
+// reportedNames replaces names of Go types and fields in decoder errors with their former names. Operators see these texts, so renaming the
 // types and fields must not change them.
 var reportedNames = strings.NewReplacer(
 	"clusterspec.Endpoint.Zone of", "control.Endpoint.Building of",
--- a/internal/clusterspec/spec.go
+++ b/internal/clusterspec/spec.go
@@ -1,12 +1,12 @@
 // Package clusterspec defines the desired state of a cluster: its delivery nodes, and the destinations that they
 // deliver to. A control process assigns the destinations of a [Spec] to its nodes.
 //
-// The settings file, the replicated log and the HTTP interface of control machines contain a Spec, or a [Delta] between
+// The spec file, the replicated log and the HTTP interface of control machines contain a Spec, or a [Delta] between
 // two. A Spec and its parts have no lock. A Spec that is in use is never modified.
 //
 // # External names
 //
-// Some keys of the settings file and of JSON differ from the field names. Only this package maps them:
+// Some keys of the spec file and of JSON differ from the field names:
 //
 //	key              field                 meaning
 //	node             Spec.Nodes            delivery nodes
--- a/internal/config/assignment.go
+++ b/internal/config/assignment.go
@@ -23,12 +23,13 @@
 type Assignment struct {
 	// Control lists the HOST:PORT of the region's control process, or of the processes that may take over from it.
 	Control []string `toml:"control"`
-	// State is the file that persists the node's lease across restarts.
+	// State is the file that persists the highest incarnation seen and the process id across restarts: see
+	// control.AgentConfig.StateFile.
 	State string `toml:"state"`
 	// RegionShare is the fraction of each destination's rate limit that this region may use.
 	RegionShare float64 `toml:"region_share"`
-	// OwnersKeptFor is the time for which owners of other destinations are cached, and OwnersMax the maximum number of
-	// cached destinations.
+	// OwnersKeptFor is the time for which owners of destinations that are not assigned to this node are cached, and
+	// OwnersMax the maximum number of cached destinations.
 	OwnersKeptFor Duration `toml:"owners_kept_for"`
 	OwnersMax     int      `toml:"owners_max"`
 	// Destinations is the source of endpoints and rate limits: destinationsFromFile or destinationsFromControl.
--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -38,7 +38,7 @@
 // reservedPathChars lists the characters that a class name must not contain, since it is a segment of a URL path.
 const reservedPathChars = "/ ?#%"
 
-// Limits of a node's file.
+// Limits of the values in a node's file, and a reserved name.
 const (
 	minStoreLease  = Duration(time.Second)
 	minStoreMB     = 4
@@ -59,10 +59,10 @@
 	healthEndpoint = "healthz" // path of the health check, which no class may have as its name
 )
 
-// MaxDestination is the maximum number of a destination outside the platform.
+// MaxDestination is the highest destination number that a node accepts, in its file and in requests.
 const MaxDestination = math.MaxUint32
 
-// check returns an error that joins all errors of the file, in the order of its sections, or nil.
+// check returns an error that joins all errors of the file, or nil.
 func (f *File) check() error {
 	var c checker
 	c.required("name", f.Name)
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,8 +1,10 @@
 // Package config reads the TOML files of nodes, control processes and rules. Their keys are a stable interface for
 // operators. The package maps them to the settings of other packages.
 //
-// An unknown key is an error, and a file is validated completely before anything starts. The returned error joins all
-// errors of a file, each with its position or key. A field that exists only in a file has the name of its key.
+// An unknown key is an error, and a file is validated completely before anything starts. Decoding stops at the first
+// syntax or type error, and otherwise reports all unknown keys. A decoded file is checked, and the returned error joins
+// all errors of the checks. Each error contains its position or key. A field is named after its key, or after the
+// setting of another package that it maps to.
 //
 // The package has no state. Its functions are safe for concurrent use. A loaded file is never modified. Start reading
 // at [Load] and [File.Settings] for nodes, and at [LoadControl] for control processes.
@@ -51,7 +53,7 @@
 	Path       string   `toml:"path"`
 	Durability string   `toml:"durability"` // "power" or "process"
 	MaxMB      int64    `toml:"max_mb"`     // sqlite, journal: maximum size in MiB; messages are rejected before the store is full
-	Keep       Duration `toml:"keep"`       // sqlite, postgres: time for which a message sent again with its id gets its final response
+	Keep       Duration `toml:"keep"`       // sqlite, postgres: how long final responses are kept for messages that are sent again with the same id
 	Check      *bool    `toml:"check"`      // sqlite: read all pages at startup, and fail if the file is damaged
 }
 
@@ -87,7 +89,7 @@
 	// gets the full rate.
 	InitialCapacity float64  `toml:"cold_share"`
 	WarmUp          Duration `toml:"warm_up"`
-	// An endpoint is overloaded by more than FallsAt times its current capacity for FallsIn.
+	// An endpoint counts as overloaded if its load exceeds FallsAt times its current capacity for FallsIn.
 	FallsAt float64  `toml:"falls_at"`
 	FallsIn Duration `toml:"falls_in"`
 }
@@ -108,12 +110,12 @@
 	Rest Duration `toml:"rest"`
 }
 
-// Destination is a partner system.
+// Destination is a system of a partner, with one or more endpoints.
 type Destination struct {
 	Number      int        `toml:"number"`
 	Name        string     `toml:"name"`
-	Rate        float64    `toml:"rate"`         // calls a second from all nodes; 0 if unknown
-	RoutesApart bool       `toml:"routes_apart"` // each endpoint has its own rate limit, pace and outages
+	Rate        float64    `toml:"rate"`         // rate limit in calls a second, for all nodes together; 0 if unknown
+	RoutesApart bool       `toml:"routes_apart"` // each endpoint has its own rate limit, call spacing and outages
 	Bundle      int        `toml:"bundle"`       // maximum number of messages in one call
 	Endpoints   []Endpoint `toml:"endpoint"`
 }
@@ -156,7 +158,8 @@
 	return filepath.Join(filepath.Dir(file), path)
 }
 
-// Parse decodes the text of a node's file, sets the defaults, and checks it. The error joins all errors of the file.
+// Parse decodes the text of a node's file, sets the defaults, and checks it. The error joins all unknown
+// keys or all errors of the checks.
 func Parse(text []byte) (*File, error) {
 	f := &File{}
 	if err := decode(text, f); err != nil {
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -110,8 +110,8 @@
 	}
 }
 
-// The rule file in deploy is valid, the default record file has its name with a suffix, and errors have their
-// position.
+// The rule file in deploy is valid. The default record file is the rule file's name with a suffix. Errors contain their
+// line and column.
 func TestLoadRulesReturnsSetOrErrorWithPosition(t *testing.T) {
 	f, err := Parse([]byte(strings.Replace(deployedGateway(t), "[answers]", "[rules]\nfile = \"rules.toml\"\n[answers]", 1)))
 	if err != nil {
--- a/internal/config/control.go
+++ b/internal/config/control.go
@@ -56,7 +56,7 @@
 }
 
 // ParseControl decodes the text of the file of a control process, sets the defaults, and checks it. The error joins
-// all errors of the file.
+// all unknown keys or all errors of the checks.
 func ParseControl(text []byte) (*Control, error) {
 	c := &Control{}
 	if err := decode(text, c); err != nil {
--- a/internal/config/decode.go
+++ b/internal/config/decode.go
@@ -37,13 +37,13 @@
 	return err
 }
 
-// typeError is a decoder error. Its text has the reported names of struct fields: see reportedFields.
+// typeError wraps a decoder error of any kind. Its text contains the former names of struct fields: see reportedFields.
 type typeError struct{ err error }
 
 func (e typeError) Error() string { return reportedFields.Replace(e.err.Error()) }
 func (e typeError) Unwrap() error { return e.err }
 
-// reportedFields replaces the names of struct fields in decoder errors. Operators see these texts, so renaming the
+// reportedFields replaces the names of struct fields in decoder errors with their former names. Operators see these texts, so renaming the
 // fields must not change them.
 var reportedFields = strings.NewReplacer(
 	"struct field config.Limits.MaxInFlight of", "struct field config.Limits.Held of",
--- a/internal/config/gossip.go
+++ b/internal/config/gossip.go
@@ -23,15 +23,16 @@
 // MaxPeers is the maximum number of peers in a file.
 const MaxPeers = 1024
 
-// Gossip is the section with the nodes that share evidence about partners. Gossip is disabled if Listen is empty.
+// Gossip is the section with the nodes that exchange observations of the health of endpoints. Gossip is disabled if
+// Listen is empty.
 type Gossip struct {
 	Listen   string `toml:"listen"`
 	Cluster  string `toml:"cluster"`
 	Building string `toml:"building"` // availability zone of this node
 	Key      string `toml:"key"`      // file of the private key
 	State    string `toml:"state"`    // file of the persisted state; empty means gossip.state
-	// Datagrams is the maximum send rate of the node in datagrams a second; 0 means 16. The node verifies up to three
-	// times as many from the known address of a peer.
+	// Datagrams is the maximum send rate of the node in datagrams a second; 0 means 16. It verifies the
+	// signatures of at most three times as many a second from the known address of a peer.
 	Datagrams int    `toml:"datagrams"`
 	Peers     []Peer `toml:"peer"`
 }
--- a/internal/config/quorum_test.go
+++ b/internal/config/quorum_test.go
@@ -65,7 +65,7 @@
 	}
 }
 
-// The file in deploy is valid, documents each key, and leaves a majority without any one region.
+// The file in deploy is valid, documents each key, and a majority remains if one region fails.
 func TestDeployedQuorumIsValidAndDocumentsKeys(t *testing.T) {
 	text, err := os.ReadFile("../../deploy/quorum.toml")
 	if err != nil {
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -10,7 +10,7 @@
 
 const (
 	// minAttemptTimeout is the minimum timeout of an attempt. A timeout derived from the latency of a partner on the local
-	// network would be shorter than a pause of either machine.
+	// network would be shorter than the time for which the process of either machine may be paused.
 	minAttemptTimeout = 500 * time.Millisecond
 	// connectTimeout is the timeout of connecting to an endpoint.
 	connectTimeout = time.Second
@@ -48,8 +48,8 @@
 	return names
 }
 
-// Settings returns the policy's settings. classes and zones list the persisted names by their numbers, and must contain
-// all names of the file. A persisted class that the file lacks keeps its number and is not used. KeyCooldown applies to
+// Settings returns the policy's settings. classes and zones are the persisted names: the index of a name is its number.
+// They must contain all names of the file. A persisted class that the file lacks keeps its number and is not used. KeyCooldown applies to
 // all classes and is the longest Class.Rest.
 func (f *File) Settings(classes, zones []string) (policy.Settings, Numbers) {
 	settings := f.baseSettings()
