--- a/internal/clusterspec/parse.go
+++ b/internal/clusterspec/parse.go
@@ -78,8 +78,8 @@
 func (e typeError) Error() string { return reportedNames.Replace(e.err.Error()) }
 func (e typeError) Unwrap() error { return e.err }
 
-// reportedNames replaces names of Go types and fields in decoder errors with their former names. Operators see these texts, so renaming the
-// types and fields must not change them.
+// reportedNames replaces names of Go types and fields in decoder errors with their former names. Operators see these
+// texts, so renaming the types and fields must not change them.
 var reportedNames = strings.NewReplacer(
 	"clusterspec.Endpoint.Zone of", "control.Endpoint.Building of",
 	"clusterspec.Endpoint.Draining of", "control.Endpoint.Drains of",
--- a/internal/config/decode.go
+++ b/internal/config/decode.go
@@ -43,8 +43,8 @@
 func (e typeError) Error() string { return reportedFields.Replace(e.err.Error()) }
 func (e typeError) Unwrap() error { return e.err }
 
-// reportedFields replaces the names of struct fields in decoder errors with their former names. Operators see these texts, so renaming the
-// fields must not change them.
+// reportedFields replaces the names of struct fields in decoder errors with their former names. Operators see these
+// texts, so renaming the fields must not change them.
 var reportedFields = strings.NewReplacer(
 	"struct field config.Limits.MaxInFlight of", "struct field config.Limits.Held of",
 	"struct field config.Partners.InitialCapacity of", "struct field config.Partners.ColdShare of",
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -49,8 +49,8 @@
 }
 
 // Settings returns the policy's settings. classes and zones are the persisted names: the index of a name is its number.
-// They must contain all names of the file. A persisted class that the file lacks keeps its number and is not used. KeyCooldown applies to
-// all classes and is the longest Class.Rest.
+// They must contain all names of the file. A persisted class that the file lacks keeps its number and is not used.
+// KeyCooldown applies to all classes and is the longest Class.Rest.
 func (f *File) Settings(classes, zones []string) (policy.Settings, Numbers) {
 	settings := f.baseSettings()
 	numbers := Numbers{Classes: map[string]int{}, Kinds: map[string]int{}, Zones: map[string]int{}}
--- a/internal/consensus/consensus.go
+++ b/internal/consensus/consensus.go
@@ -43,7 +43,8 @@
 	InitialState   []byte
 	Machine        StateMachine
 	// Tick is the unit of the member's timers; 0 or less means DefaultTick. A follower that receives nothing
-	// from a leader for ElectionTicks starts an election; heartbeatTicks (3) or less means DefaultElectionTicks (15).
+	// from a leader for ElectionTicks starts an election. ElectionTicks of heartbeatTicks (3) or less means
+	// DefaultElectionTicks (15).
 	Tick          time.Duration
 	ElectionTicks int
 	// CompactBytes is the size of the log file at which a snapshot replaces it; 0 or less means DefaultCompactBytes.
@@ -58,7 +59,7 @@
 	DefaultCompactBytes  = 16 << 20
 )
 
-// Bounds of the log.
+// Limits and timing of the raft protocol.
 const (
 	// MaxEntryBytes is the maximum size of an entry.
 	MaxEntryBytes = 1 << 20
--- a/internal/consensus/core.go
+++ b/internal/consensus/core.go
@@ -97,14 +97,14 @@
 	return nil
 }
 
-// receive processes a message from another member. It returns ErrRegressed if the leader reports as committed an entry
-// that this member lacks. An error stops the member.
+// receive processes a message from another member. It returns ErrRegressed if the commit index in a heartbeat
+// exceeds the index of this member's last entry. An error stops the member.
 func (c *core) receive(m *pb.Message) error {
 	if m.GetTo() != c.config.ID || raft.IsLocalMsg(m.GetType()) {
 		return nil
 	}
 	if m.GetType() == pb.MsgHeartbeat && m.GetTerm() >= c.raw.BasicStatus().GetTerm() {
-		// A leader's heartbeat limits the commit index to the entries that this member has acknowledged.
+		// The commit index in a heartbeat never exceeds the last entry that this member has acknowledged to the leader.
 		last, err := c.memory.LastIndex()
 		if err != nil {
 			return err
@@ -120,8 +120,8 @@
 }
 
 // processReady handles pending raft.Ready values until none is left: it persists entries and hard state, passes
-// messages to send, and applies committed entries. Nothing is sent or applied before it is on disk. An error stops the
-// member.
+// messages to send, and applies committed entries. Entries, votes and terms are synced to disk before the
+// messages that depend on them are sent and before entries are applied. An error stops the member.
 func (c *core) processReady(send func([]*pb.Message)) error {
 	applied := c.applied
 	for c.raw.HasReady() {
--- a/internal/consensus/core_test.go
+++ b/internal/consensus/core_test.go
@@ -300,7 +300,7 @@
 	return true
 }
 
-// A simulation runs for at least simMinSteps, and at most simMaxSteps until an entry is applied. The raft library's
+// A simulation runs for simMinSteps, and then until an entry is applied. It fails at simMaxSteps. The raft library's
 // election timeouts can't be seeded, and a quorum may be isolated for most of the first steps.
 const (
 	simMinSteps = 6000
--- a/internal/consensus/disk.go
+++ b/internal/consensus/disk.go
@@ -45,9 +45,9 @@
 }
 
 // openDisk opens a folder, creates it if it does not exist, and reads its log. It truncates the log after the valid
-// part (see readRecords) and logs nothing about it. A frame that a crash has cut off was never acknowledged. A damaged
-// length loses the acknowledged records after it: if committed entries are among them, the member stops with
-// ErrRegressed when a heartbeat of the leader reports them as committed.
+// part (see readRecords) and does not log the truncation. A frame that a crash has cut off was never acknowledged. If
+// the length field of a frame is damaged, the acknowledged records after it are lost: if committed entries are among
+// them, the member stops with ErrRegressed when a heartbeat of the leader reports them as committed.
 func openDisk(dir string) (*disk, storedLog, error) {
 	d := &disk{dir: dir, create: createFile}
 	stored := storedLog{memory: raft.NewMemoryStorage(), empty: true}
--- a/internal/consensus/logger.go
+++ b/internal/consensus/logger.go
@@ -8,8 +8,8 @@
 	"go.etcd.io/raft/v3"
 )
 
-// logger writes log lines of the raft library to a slog.Logger. A panic of the library stops the member, not the
-// process: see [Node.Run].
+// logger writes log lines of the raft library to a slog.Logger. A Fatal or Panic call of the library stops the
+// member, not the process; other panics are not recovered: see [Node.Run].
 type logger struct{ log *slog.Logger }
 
 var _ raft.Logger = logger{}
--- a/internal/consensus/node.go
+++ b/internal/consensus/node.go
@@ -230,21 +230,23 @@
 	return n.enqueue(func() error { return n.core.receive(m) })
 }
 
-// Unreachable reports to the raft library that a message was not delivered to a member.
+// Unreachable reports to the raft library that a message was not delivered to a member. The report is lost if the
+// request queue is full (ErrBusy).
 func (n *Node) Unreachable(id uint64) {
-	_ = n.enqueue(func() error { // the report is not needed if this member has stopped
+	_ = n.enqueue(func() error { // not needed after ErrStopped
 		n.core.raw.ReportUnreachable(id)
 		return nil
 	})
 }
 
-// SnapshotSent reports to the raft library whether a snapshot was delivered to a member.
+// SnapshotSent reports to the raft library whether a snapshot was delivered to a member. The report is lost if the
+// request queue is full (ErrBusy).
 func (n *Node) SnapshotSent(id uint64, delivered bool) {
 	status := raft.SnapshotFinish
 	if !delivered {
 		status = raft.SnapshotFailure
 	}
-	_ = n.enqueue(func() error { // the report is not needed if this member has stopped
+	_ = n.enqueue(func() error { // not needed after ErrStopped
 		n.core.raw.ReportSnapshot(id, status)
 		return nil
 	})
--- a/internal/consensus/records.go
+++ b/internal/consensus/records.go
@@ -20,7 +20,7 @@
 )
 
 // readRecords loads the records of a log into memory and returns the length in bytes of its valid part. It returns
-// ErrDamaged for a changed payload or checksum of a frame that more data follows.
+// ErrDamaged if the checksum of a frame other than the last one does not match its payload, or if a record is invalid.
 //
 // A frame whose length was changed to end past the end of the file can't be distinguished from a frame that a crash has
 // cut off. The valid part ends before it, and the loss of the hard states and entries after it is not logged.
@@ -42,7 +42,7 @@
 	return int64(len(text) - len(rest)), nil
 }
 
-// isLastFrame reports whether no data follows the first frame of data, so that a crash may have cut the frame off.
+// isLastFrame reports whether data contains nothing after its first frame, which a crash may then have cut off.
 func isLastFrame(data []byte) bool {
 	size := int64(binary.LittleEndian.Uint32(data))
 	return size+frame.HeaderSize >= int64(len(data))
--- a/internal/consensus/transport.go
+++ b/internal/consensus/transport.go
@@ -20,7 +20,7 @@
 const (
 	// maxQueuedMessages bounds the queue to one member. Further messages are dropped; the raft library resends them.
 	maxQueuedMessages = 256
-	// maxBatchBytes is the size of a request from which on no more messages are added to it.
+	// maxBatchBytes is the request size at which no more messages are added. The last message may exceed it.
 	maxBatchBytes = 2 << 20
 	// MaxBodyBytes is the maximum size of a request. The largest requests carry a snapshot.
 	MaxBodyBytes = 512 << 20
--- a/internal/control/agent.go
+++ b/internal/control/agent.go
@@ -19,8 +19,9 @@
 type AgentConfig struct {
 	Node      placement.NodeID
 	Addresses []string // HOST:PORT of control machines, tried in turn
-	// StateFile stores the highest incarnation seen and the process id, and is locked while the agent runs. With it, the
-	// assignments of a killed process are released as soon as the node restarts; without it, when the lease expires.
+	// StateFile stores the highest incarnation seen and the process id. The file with the suffix .lock is locked while
+	// the agent exists. With a state file, a restarted node takes over the assignments of its killed process at once;
+	// without it, only after the lease has expired.
 	StateFile string
 	// Apply applies changed assignments. It is called sequentially, in order. The agent confirms the assignments to the
 	// control machine once Apply returns, so Apply must be quick. It may call the agent.
@@ -112,7 +113,7 @@
 var ErrInvalidAgentConfig = errors.New("agent config requires a valid node name and an address of a control process")
 
 // NewAgent returns an agent without a lease. The caller must call Run. It returns ErrInvalidAgentConfig, ErrLocked if
-// another agent has locked the state file, and an error if that file can't be read, decoded or written. Without a state
+// another agent has locked the lock file, and an error if that file can't be read, decoded or written. Without a state
 // file nothing is locked, and the node's next process cannot take over this one's assignments before its lease expires.
 func NewAgent(config AgentConfig) (*Agent, error) {
 	config = config.withDefaults()
@@ -283,7 +284,7 @@
 	a.requestReport()
 }
 
-// Release reports that the node has no unfinished messages for a destination, for which it no longer accepts messages.
+// Release reports that the node has finished its messages for a destination for which it accepts no new ones.
 // The node's quota of the destination is 0 from then on. Release returns false, and changes nothing, if the node still
 // accepts messages for the destination.
 func (a *Agent) Release(destination placement.DestinationID) bool {
--- a/internal/control/agent_poll.go
+++ b/internal/control/agent_poll.go
@@ -13,12 +13,12 @@
 const (
 	// minPollInterval is the minimum time between the starts of two polls.
 	minPollInterval = 200 * time.Millisecond
-	// The pause after a failure is minBackoff/2 plus a random part of a span that doubles from minBackoff up to
-	// maxBackoff: at least 100 ms, and less than 2.1 s.
+	// The pause after every address has failed is minBackoff/2 plus a random part of a span that starts at
+	// 2*minBackoff and doubles up to maxBackoff: at least 100 ms, and less than 2.1 s.
 	minBackoff = 200 * time.Millisecond
 	maxBackoff = 2 * time.Second
-	// replyTimeout is how long a reply may take in addition to the wait of its poll. completeReplyTimeout is the limit
-	// for a reply that contains all assignments.
+	// replyTimeout is how long a reply may take in addition to the wait of its poll, and the limit for a lookup of
+	// owners. completeReplyTimeout replaces it for a reply that contains all assignments.
 	replyTimeout         = 2 * time.Second
 	completeReplyTimeout = 10 * time.Second
 	closeTimeout         = time.Second
--- a/internal/control/client.go
+++ b/internal/control/client.go
@@ -51,7 +51,8 @@
 	ErrTooManyLookups = errors.New("too many concurrent lookups of owners")
 )
 
-// client sends requests to one control machine at a time. After a failure it switches to the next address.
+// client sends requests to one control machine at a time. After a failed request or an error response it switches to
+// another address: see do and replyError.
 type client struct {
 	addresses []string
 	current   atomic.Uint32 // index of the address to use, modulo the number of addresses
--- a/internal/control/clock.go
+++ b/internal/control/clock.go
@@ -12,8 +12,8 @@
 	wall      time.Duration
 }
 
-// clock is a clock for leases. It never goes back, and advances at least as much as the monotonic clock and the wall
-// clock: the monotonic clock stops while a machine is suspended, which must not extend a lease. A forward step of the
+// clock is a clock for leases. It never goes back, and advances at least as much as the monotonic clock and, to within
+// stepTolerance, the wall clock: the monotonic clock stops while a machine is suspended, which must not extend a lease. A forward step of the
 // wall clock counts as elapsed time, so it shortens or ends leases; this is not logged. A backward step is ignored.
 // The clock is not safe for concurrent use.
 type clock struct {
--- a/internal/control/member.go
+++ b/internal/control/member.go
@@ -103,7 +103,7 @@
 	background sync.WaitGroup // vote requests and reloads in progress
 	specSlot   chan struct{}  // occupied by a change of the cluster spec
 
-	mu      sync.Mutex // locked for calls of the elector only, and after Server.mu
+	mu      sync.Mutex // guards elector and clock; locked after Server.mu
 	elector *leadership.Elector
 	clock   *clock
 	started time.Time
@@ -226,8 +226,9 @@
 // Addr returns the address that the member listens on.
 func (m *Member) Addr() string { return m.listener.Addr().String() }
 
-// clockReading returns the time for the elector. The caller holds mu, or has the only reference to the member. Latest
-// never goes back (see clock), so the elector's handling of a backward step is never used here.
+// clockReading returns the time for the elector: Latest includes the time for which the machine was suspended, Earliest
+// does not. The caller holds mu, or has the only reference to the member. Latest never decreases (see clock), so the
+// elector never has to handle a backward step.
 func (m *Member) clockReading() leadership.ClockReading {
 	return leadership.ClockReading{Latest: m.clock.now(), Earliest: time.Since(m.started)}
 }
--- a/internal/control/member_changes.go
+++ b/internal/control/member_changes.go
@@ -76,9 +76,9 @@
 // or ErrNoEffect. It returns ErrNoQuorum when the context is done, and consensus.ErrStopped or consensus.ErrTooLong if
 // the command can't be proposed. It retries after consensus.ErrBusy (the queue is full).
 //
-// A command may be committed twice. The second commit does not change applied state. If the command is a part of a
-// change to the spec, the second commit may restart the staging or discard the staged parts. The later parts then fail
-// with ErrConflict, and the entire change has no effect.
+// A command may be committed twice. Applying it a second time changes nothing, unless it is a part of a change to the
+// spec: then parts that are already staged may be discarded. The later parts fail with ErrConflict, and the entire
+// change has no effect.
 func (m *Member) commit(ctx context.Context, c command, propose func(text []byte) error) error {
 	c.ID = rand.Uint64()
 	text, err := json.Marshal(c)
--- a/internal/control/messages.go
+++ b/internal/control/messages.go
@@ -10,7 +10,7 @@
 // interoperate.
 const (
 	pathRenew   = "/v1/assignment/renew"   // POST: a pollRequest; responds with a pollReply
-	pathOwners  = "/v1/assignment/owners"  // GET ?destination=NUMBER: an Owners
+	pathOwners  = "/v1/assignment/owners"  // GET ?destination=NUMBER or NAME: an Owners
 	pathState   = "/v1/assignment/state"   // GET: a State
 	pathExplain = "/v1/assignment/explain" // GET ?destination=NUMBER or NAME: an Explanation
 	pathDrain   = "/v1/assignment/drain"   // POST ?node=NAME&draining=BOOL
--- a/internal/control/server_placement.go
+++ b/internal/control/server_placement.go
@@ -41,7 +41,7 @@
 	previous := s.table.Load()
 	base := previous
 	if previous == nil {
-		// Nodes have reclaimed assignments of earlier incarnations. They keep them.
+		// The first placement starts from the assignments that nodes have reclaimed, so that these do not move.
 		base = placement.Restore(input.Nodes, s.grantor.AcceptingNodes())
 	}
 	s.mu.Unlock()
@@ -97,8 +97,8 @@
 	s.notifyPolls()
 }
 
-// endGrace ends the grace period once leases of earlier incarnations must have expired. Reclaimed destinations without
-// owners in the placement lose their owners, and waiting polls are answered. The end is persisted, so that the next
+// endGrace ends the grace period once leases of earlier incarnations must have expired. Nodes lose reclaimed
+// destinations that have no owner in the placement, and waiting polls with an update are answered. The end is persisted, so that the next
 // start waits only for leases of the current duration.
 //
 // A failed write is logged, and endGrace does not retry it. Until Server.Drain writes the state, a restarted server
--- a/internal/control/server_sessions.go
+++ b/internal/control/server_sessions.go
@@ -77,8 +77,8 @@
 	s.removePoll(id, updated)
 	now := s.now()
 	s.expireSessions(now)
-	// Checked last, just before the lease is granted. Leases granted earlier need no check: they started when their
-	// requests were sent.
+	// Checked after the poll's wait, just before the lease is granted. A lease granted earlier needs no check, since
+	// its duration counts from the time at which its request was sent.
 	if !s.mayGrant() {
 		return pollReply{}, errNotLeader
 	}
--- a/internal/control/server_state.go
+++ b/internal/control/server_state.go
@@ -45,8 +45,8 @@
 	return &stateFolder{path: path, lock: lock}, nil
 }
 
-// beginIncarnation persists and returns a state with the next incarnation, which is greater than above, and returns the
-// previous state. The longest lease that may be valid is the longer of the previous state's and this server's.
+// beginIncarnation persists a state with the next incarnation, greater than the lower bound above, and returns it and
+// the previous state. The longest lease that may be valid is the longer of the previous state's and this server's.
 func (f *stateFolder) beginIncarnation(above lease.Incarnation, duration time.Duration) (next, previous serverState, err error) {
 	if err := readState(f.file(), &previous); err != nil {
 		return next, previous, err
--- a/internal/control/statefile.go
+++ b/internal/control/statefile.go
@@ -14,7 +14,7 @@
 // maxStateBytes is the maximum size of a state file.
 const maxStateBytes = 1 << 20
 
-// ErrLocked reports that another running process has locked a file.
+// ErrLocked reports that a file is locked, by this process or another.
 var ErrLocked = errors.New("locked by another process")
 
 // lockFile locks a file, and creates it if it does not exist. The lock ends when the file is closed or the process
