--- a/internal/clusterspec/delta.go
+++ b/internal/clusterspec/delta.go
@@ -59,8 +59,8 @@
 // builds an index of all elements.
 const maxLinearSearches = 16
 
-// replaceByKey replaces elements with the changed ones of the same key, and appends new ones. It modifies the
-// slice all in place.
+// replaceByKey replaces elements with the changed ones of the same key, and appends new ones. It modifies the slice all
+// in place.
 func replaceByKey[K comparable, V any](all, changed []V, key func(*V) K) []V {
 	if len(changed) <= maxLinearSearches {
 		for i := range changed {
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -158,8 +158,8 @@
 	return filepath.Join(filepath.Dir(file), path)
 }
 
-// Parse decodes the text of a node's file, sets the defaults, and checks it. The error joins all unknown
-// keys or all errors of the checks.
+// Parse decodes the text of a node's file, sets the defaults, and checks it. The error joins all unknown keys or all
+// errors of the checks.
 func Parse(text []byte) (*File, error) {
 	f := &File{}
 	if err := decode(text, f); err != nil {
--- a/internal/config/rules.go
+++ b/internal/config/rules.go
@@ -29,8 +29,7 @@
 	return string(text), nil
 }
 
-// ParseRules compiles the text of a rule file. If the text contains no rules, the
-// set leaves each message unchanged.
+// ParseRules compiles the text of a rule file. If the text contains no rules, the set leaves each message unchanged.
 func ParseRules(text string, classes []rules.Class) (*rules.Set, error) {
 	var spec rules.Spec
 	if err := decode([]byte(text), &spec); err != nil {
--- a/internal/consensus/consensus.go
+++ b/internal/consensus/consensus.go
@@ -42,8 +42,8 @@
 	InitialMembers []uint64
 	InitialState   []byte
 	Machine        StateMachine
-	// Tick is the unit of the member's timers; 0 or less means DefaultTick. A follower that receives nothing
-	// from a leader for ElectionTicks starts an election. ElectionTicks of heartbeatTicks (3) or less means
+	// Tick is the unit of the member's timers; 0 or less means DefaultTick. A follower that receives nothing from a
+	// leader for ElectionTicks starts an election. ElectionTicks of heartbeatTicks (3) or less means
 	// DefaultElectionTicks (15).
 	Tick          time.Duration
 	ElectionTicks int
--- a/internal/consensus/core.go
+++ b/internal/consensus/core.go
@@ -97,8 +97,8 @@
 	return nil
 }
 
-// receive processes a message from another member. It returns ErrRegressed if the commit index in a heartbeat
-// exceeds the index of this member's last entry. An error stops the member.
+// receive processes a message from another member. It returns ErrRegressed if the commit index in a heartbeat exceeds
+// the index of this member's last entry. An error stops the member.
 func (c *core) receive(m *pb.Message) error {
 	if m.GetTo() != c.config.ID || raft.IsLocalMsg(m.GetType()) {
 		return nil
--- a/internal/control/agent.go
+++ b/internal/control/agent.go
@@ -19,9 +19,9 @@
 type AgentConfig struct {
 	Node      placement.NodeID
 	Addresses []string // HOST:PORT of control machines, tried in turn
-	// StateFile stores the highest incarnation seen and the process id. The file with the suffix .lock is locked while
-	// the agent exists. With a state file, a restarted node takes over the assignments of its killed process at once;
-	// without it, only after the lease has expired.
+	// StateFile stores the highest incarnation seen and the process id. The file with the suffix .lock is locked from
+	// NewAgent until Run returns. With a state file, a restarted node takes over the assignments of its killed process
+	// at once; without it, only after the lease has expired.
 	StateFile string
 	// Apply applies changed assignments. It is called sequentially, in order. The agent confirms the assignments to the
 	// control machine once Apply returns, so Apply must be quick. It may call the agent.
--- a/internal/control/clock.go
+++ b/internal/control/clock.go
@@ -13,9 +13,9 @@
 }
 
 // clock is a clock for leases. It never goes back, and advances at least as much as the monotonic clock and, to within
-// stepTolerance, the wall clock: the monotonic clock stops while a machine is suspended, which must not extend a lease. A forward step of the
-// wall clock counts as elapsed time, so it shortens or ends leases; this is not logged. A backward step is ignored.
-// The clock is not safe for concurrent use.
+// stepTolerance, the wall clock: the monotonic clock stops while a machine is suspended, which must not extend a lease.
+// A forward step of the wall clock counts as elapsed time, so it shortens or ends leases; this is not logged. A
+// backward step is ignored. The clock is not safe for concurrent use.
 type clock struct {
 	read    func() clockValues
 	offset  time.Duration // wall clock minus monotonic clock, after the latest step
--- a/internal/control/doc.go
+++ b/internal/control/doc.go
@@ -8,11 +8,11 @@
 //
 // # Concurrency
 //
-// Each part is driven by its Run method, which starts further goroutines, and accepts calls from any goroutine. A mutex guards the modules without
-// locks of their own (lease.Grantor, lease.Holder, leadership.Elector). It is not held during network I/O; a Server
-// writes its state file while holding it (Server.Drain, Server.endGrace), at most once per change. Server.mu is
-// locked before Member.mu. A Member's view of the replicated state belongs to its Run goroutine; other goroutines use
-// the latest view, which is immutable.
+// Each part is driven by its Run method, which starts further goroutines, and accepts calls from any goroutine. A mutex
+// guards the modules without locks of their own (lease.Grantor, lease.Holder, leadership.Elector). It is not held
+// during network I/O; a Server writes its state file while holding it (Server.Drain, Server.endGrace), at most once per
+// change. Server.mu is locked before Member.mu. A Member's view of the replicated state belongs to its Run goroutine;
+// other goroutines use the latest view, which is immutable.
 //
 // # External names
 //
--- a/internal/control/margin_test.go
+++ b/internal/control/margin_test.go
@@ -474,8 +474,7 @@
 }
 
 // A member's own leader lease uses the clock that includes suspended time. The wait for the end of another member's
-// lease uses the clock that does not. Using the
-// wrong clock in either case would let two members lead at once.
+// lease uses the clock that does not. Using the wrong clock in either case would let two members lead at once.
 func TestMemberClockReadingUsesBothClocks(t *testing.T) {
 	m, current := newIdleMember(t)
 	before := m.clockReading()
--- a/internal/control/member_http.go
+++ b/internal/control/member_http.go
@@ -74,9 +74,9 @@
 	writeOutcome(w, m.Drain(r.Context(), node, draining))
 }
 
-// serveReload reloads this machine's spec file. ErrNoQuorum, ErrConflict and errSpecBusy get the codes of errorStatus. All other
-// errors get codeMalformed (status 400), including an unreadable file, consensus.ErrStopped and ErrConfigsWithdrawn;
-// serveSpec responds to the latter two with the codes of errorStatus.
+// serveReload reloads this machine's spec file. ErrNoQuorum, ErrConflict and errSpecBusy get the codes of errorStatus.
+// All other errors get codeMalformed (status 400), including an unreadable file, consensus.ErrStopped and
+// ErrConfigsWithdrawn; serveSpec responds to the latter two with the codes of errorStatus.
 func (m *Member) serveReload(w http.ResponseWriter, r *http.Request) {
 	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(specReplyTimeout))
 	err := m.Reload(r.Context())
--- a/internal/control/member_role.go
+++ b/internal/control/member_role.go
@@ -66,7 +66,8 @@
 }
 
 // firstIncarnation is the incarnation of a region's first leader, unless AboveIncarnation is set:
-// leadership.State.Elect increments a region's incarnation, which starts at 0 or at AboveIncarnation. No lease can have been granted before it.
+// leadership.State.Elect increments a region's incarnation, which starts at 0 or at AboveIncarnation. No lease can have
+// been granted before it.
 const firstIncarnation lease.Incarnation = 1
 
 // startLeading starts a server that assigns destinations to the region's nodes. Run calls it through updateRole.
--- a/internal/control/server_placement.go
+++ b/internal/control/server_placement.go
@@ -98,8 +98,8 @@
 }
 
 // endGrace ends the grace period once leases of earlier incarnations must have expired. Nodes lose reclaimed
-// destinations that have no owner in the placement, and waiting polls with an update are answered. The end is persisted, so that the next
-// start waits only for leases of the current duration.
+// destinations that have no owner in the placement, and waiting polls with an update are answered. The end is
+// persisted, so that the next start waits only for leases of the current duration.
 //
 // A failed write is logged, and endGrace does not retry it. Until Server.Drain writes the state, a restarted server
 // waits for the longer lease, which is safe.
--- a/internal/control/state_machine.go
+++ b/internal/control/state_machine.go
@@ -187,7 +187,7 @@
 	view.Leadership = m.state.Leadership.Clone()
 	m.effective = nil
 	m.mu.Lock()
-	if m.pending != nil { // the member has not taken the pending view: keep its nonces
+	if m.pending != nil { // the member has not received the pending view: keep its nonces
 		view.effective = append(slices.Clone(m.pending.effective), view.effective...)
 	}
 	m.pending, m.current = view, view
