--- a/internal/config/gossip.go
+++ b/internal/config/gossip.go
@@ -31,8 +31,8 @@
 	Building string `toml:"building"` // availability zone of this node
 	Key      string `toml:"key"`      // file of the private key
 	State    string `toml:"state"`    // file of the persisted state; empty means gossip.state
-	// Datagrams is the maximum send rate of the node in datagrams a second; 0 means 16. It verifies the signatures of
-	// at most three times as many a second from the known address of a peer.
+	// Datagrams is the maximum send rate of the node in datagrams a second; 0 means 16. The node verifies the
+	// signatures of at most three times as many a second from the known address of a peer.
 	Datagrams int    `toml:"datagrams"`
 	Peers     []Peer `toml:"peer"`
 }
--- a/internal/control/server_placement.go
+++ b/internal/control/server_placement.go
@@ -41,7 +41,8 @@
 	previous := s.table.Load()
 	base := previous
 	if previous == nil {
-		// The first placement starts from the assignments that nodes have reclaimed, so that these do not move.
+		// The first placement starts from the assignments that nodes have reclaimed, so that these stay where the rules
+		// of package placement allow it.
 		base = placement.Restore(input.Nodes, s.grantor.AcceptingNodes())
 	}
 	s.mu.Unlock()
