--- a/internal/egress/call.go
+++ b/internal/egress/call.go
@@ -19,7 +19,7 @@
 	Kind           uint16 // index into the settings' kinds
 	Zone           uint16 // index into the settings' zones
 	DrainGate      Gate   // closed by a drain or by removal from the list
-	RetryAfterGate *Gate  // closed by Retry-After; shared by the routes that share a limit
+	RetryAfterGate *Gate  // closed by Retry-After; shared by the endpoints of a path
 }
 
 // Part is one message of a call.
@@ -32,10 +32,10 @@
 
 // Call is one call to an endpoint: a single message or a batch.
 //
-// A batch ends for all its messages at once, at the earliest of their deadlines. If the call
-// continued past that deadline, a message could get its final response while its attempt is
-// outstanding. A later response would complete the other messages although the endpoint no longer
-// counts the call.
+// A batch ends for all its messages at once, at the shortest of their timeouts. If the call
+// continued past a message's deadline, that message could get its final response while its attempt
+// is outstanding. A later response would complete the other messages although the endpoint no
+// longer counts the call.
 type Call struct {
 	Endpoint *Endpoint
 	Addr     string // HOST:PORT
@@ -68,7 +68,7 @@
 }
 
 // LimitedByDeadline reports whether the call's limit results from the deadline of a message
-// rather than from the response timeout.
+// rather than from the timeouts passed to Add.
 func (c *Call) LimitedByDeadline() bool {
 	return c.Deadline().Sub(c.DecidedAt) <= c.Limit+deadlineMargin
 }
--- a/internal/egress/http1/call.go
+++ b/internal/egress/http1/call.go
@@ -74,7 +74,7 @@
 
 // classifyConnectError returns the outcome of a call for which no connection was made. It returns
 // NotSent if the error is not evidence of an endpoint failure: this machine was out of a resource,
-// or on the first try a message's deadline ended the call before the endpoint's response timeout.
+// or the first try ended because of a message's deadline, not because of the call's own timeout.
 func classifyConnectError(ctx context.Context, call *egress.Call, err error, first bool) policy.Outcome {
 	if errors.Is(err, errLocalResources) || first && ctx.Err() != nil && call.LimitedByDeadline() {
 		return policy.NotSent
@@ -96,8 +96,8 @@
 }
 
 // exchangeOn makes a call on a connection. Afterwards it returns the connection to the pool if it
-// is reusable, and closes it otherwise. This happens before run reports the outcome, because the next
-// call may need the connection slot and the endpoint.
+// is reusable, and closes it otherwise. This happens before the outcome is reported, except for
+// a delivered single message: the outcome may start the next call to the endpoint, which may need the connection.
 func (c *Carrier) exchangeOn(ctx context.Context, call *egress.Call, conn *connection, req *http.Request) exchange {
 	stop := context.AfterFunc(ctx, func() { _ = conn.Close() })
 	x := c.exchange(call, conn, req)
--- a/internal/egress/http1/carrier.go
+++ b/internal/egress/http1/carrier.go
@@ -1,6 +1,6 @@
 // Package http1 makes calls to endpoints over HTTP/1.1. A connection carries one call at a time.
 //
-// The transport never sends a complete call twice: a connection belongs to its call while the call
+// A Carrier never sends a complete call twice: a connection belongs to its call while the call
 // is outstanding, and a call is sent again on another connection only if not all of its bytes were
 // written. The client of net/http does not guarantee this, so only the parser of net/http is used.
 //
@@ -26,7 +26,7 @@
 type Config struct {
 	// ConnectTimeout limits the time for connecting; 0 means 1 s.
 	ConnectTimeout time.Duration
-	// ServerIdleTimeout is the time after which endpoints close idle connections at the latest.
+	// ServerIdleTimeout is the shortest time for which an endpoint keeps an idle connection open.
 	ServerIdleTimeout time.Duration
 	// MaxIdleConnections limits the idle connections to all endpoints together. A value below
 	// the limit for one endpoint is raised to that limit.
@@ -83,7 +83,7 @@
 // Wait blocks until all outstanding calls have ended. Start must not be called after Wait.
 func (c *Carrier) Wait() { c.running.Wait() }
 
-// CloseIdle closes the idle connections to an endpoint.
+// CloseIdle closes the idle connections to an endpoint, and those to any endpoint that are no longer reusable.
 func (c *Carrier) CloseIdle(e *egress.Endpoint) { c.pool.closeIdleSince(time.Time{}, e) }
 
 // EvictIdle closes connections that were idle for too long, and logs the number of invalid
--- a/internal/egress/http1/request.go
+++ b/internal/egress/http1/request.go
@@ -17,7 +17,7 @@
 	timeoutHeader        = "X-Timeout-Ms"
 	requestIDHeader      = "X-Request-ID"
 	idempotencyKeyHeader = "Idempotency-Key"
-	noKey                = "-" // replaces the key of a message without a key in a batch
+	noKey                = "-" // sent in a batch for a message without a key
 )
 
 // newRequest returns the HTTP request for a call.
--- a/internal/egress/http1/response.go
+++ b/internal/egress/http1/response.go
@@ -14,7 +14,7 @@
 // Headers of a response, fixed by the protocol.
 const (
 	retryAfterHeader = "X-Backoff-Ms"
-	egressFullHeader = "X-Egress-Full" // "1" if the response is from a full egress, not the endpoint
+	egressFullHeader = "X-Egress-Full" // "1" if an overloaded proxy, not the endpoint, sent the response
 )
 
 // errInvalidResponse means that a response can't be parsed or is incomplete. The call may have run.
@@ -58,8 +58,8 @@
 	return result{outcome: policy.Failed}
 }
 
-// retryAfter returns the Retry-After of a response. It returns 0 if the header is missing, can't be
-// parsed, is negative or exceeds [egress.MaxRetryAfter].
+// retryAfter returns the retry delay of a response, from its X-Backoff-Ms header. It returns 0 if
+// the header is missing, can't be parsed, is negative or exceeds [egress.MaxRetryAfter].
 func retryAfter(r response) time.Duration {
 	ms, err := strconv.ParseInt(r.header.Get(retryAfterHeader), 10, 64)
 	if err != nil || ms < 0 || ms > egress.MaxRetryAfter.Milliseconds() {
@@ -68,8 +68,8 @@
 	return time.Duration(ms) * time.Millisecond
 }
 
-// batchResults maps the result words in the response to a batch to results. The protocol fixes
-// these words.
+// batchResults contains the result for each word that the response to a batch may have for a
+// message. The protocol fixes these words.
 var batchResults = map[string]result{
 	"done":    {outcome: policy.Delivered},
 	"failed":  {outcome: policy.Failed},
--- a/internal/egress/recorder.go
+++ b/internal/egress/recorder.go
@@ -40,7 +40,7 @@
 // or it has no quota of the destination's limit. ErrNoQuota wraps [ErrClosed].
 var ErrNoQuota = fmt.Errorf("%w: this node has no quota of the destination's limit", ErrClosed)
 
-// Failure points around sending an attempt and persisting its outcome.
+// Failpoints around sending an attempt and persisting its outcome.
 var (
 	beforeAttempt = failpoint.New("carrier/before-attempt")
 	afterAttempt  = failpoint.New("carrier/after-attempt")
@@ -102,7 +102,7 @@
 //   - [store.ErrKeyExpired] if the idempotency key of a message has expired,
 //   - [store.ErrCompleted] if a message is completed.
 //
-// Any other error is from the store, including an exceeded deadline, or from a failure point.
+// Any other error is from the store, including an exceeded deadline, or from a failpoint.
 // After an error the attempts may have been persisted, but nothing was sent.
 func (r *Recorder) Begin(ctx context.Context, c *Call) error {
 	now := time.Now()
