--- a/internal/egress/call.go
+++ b/internal/egress/call.go
@@ -16,7 +16,7 @@
 	ID             policy.EndpointID
 	Name           string // its ID in the endpoint list
 	Destination    int    // number of its destination
-	Kind           uint16 // index into the settings' kinds
+	Kind           uint16 // of its destination: index into policy.Settings.Kinds
 	Zone           uint16 // index into the settings' zones
 	DrainGate      Gate   // closed by a drain or by removal from the list
 	RetryAfterGate *Gate  // closed by Retry-After; shared by the endpoints of a path
--- a/internal/store/inspect.go
+++ b/internal/store/inspect.go
@@ -4,7 +4,7 @@
 
 // Inspector reads a store for operators, even while a node uses the store. It does not change the store.
 type Inspector interface {
-	// Check reads the entire store. It returns an error that lists the faults found, or nil if there are none.
+	// Check reads the entire store. It returns an error that describes at least one fault, or nil if it finds none.
 	Check(ctx context.Context) error
 	// Stat returns statistics of the store, such as the numbers of running messages, pending responses and retained
 	// responses.
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -2,7 +2,8 @@
 // attempts to send them, and the one final response of each message.
 //
 // A store guarantees the following:
-//   - A restarted node recovers every message whose [Store.Accept] returned nil and whose response was not notified.
+//   - A restarted node recovers every message whose [Store.Accept] returned nil and whose client was not notified of the
+//     response.
 //   - The recovered history of a message has an attempt for every call of which a byte may have been sent.
 //   - A message that is completed on record never becomes unfinished again.
 //   - Records of one message are applied in the order of their calls. A crash loses at most a tail of the records whose calls
@@ -29,16 +30,17 @@
 var (
 	// ErrFull rejects a message because the store has no capacity for it.
 	ErrFull = errors.New("the store is full")
-	// ErrKeyExpired rejects an attempt at a message that may have run, because its destination no longer deduplicates by the
-	// message's key.
+	// ErrKeyExpired rejects an attempt to send a message that an endpoint may already have processed, because its
+	// destination no longer deduplicates by the message's key.
 	ErrKeyExpired = errors.New("the destination no longer deduplicates by the message's key")
-	// ErrCompleted rejects an attempt at a message whose final response is on record.
+	// ErrCompleted rejects an attempt to send a message whose final response is on record.
 	ErrCompleted = errors.New("the message is already completed")
 	// ErrFenced rejects every call once another node, or a newer process of the same name, owns this node's messages: this
-	// process must no longer accept messages, send them or notify their responses.
+	// process must no longer accept messages, send them or notify clients of responses. Package egress also returns it if
+	// this node's lease has expired.
 	ErrFenced = errors.New("the messages belong to another node")
 	// ErrUndecided is returned if the store could not determine in time whether a message was accepted. An accepted message
-	// is then unfinished like any other, and is passed to the function of [Late].
+	// is then unfinished like any other, and is passed to the function set by [Late.OnLate].
 	ErrUndecided = errors.New("unknown whether the message is on record")
 	// ErrUnavailable is returned if the store can't be reached, is locked or does not respond.
 	ErrUnavailable = errors.New("the store is not available")
@@ -60,12 +62,12 @@
 type Attempt struct {
 	Endpoint string
 	Zone     int
-	At       time.Time // when the first byte is sent
+	At       time.Time // when the attempt is recorded, before the first byte is sent
 	Until    time.Time // latest time at which the call is abandoned
 	Messages []*message.Message
 }
 
-// Outcome is the result of the attempt at one message.
+// Outcome is the result of the attempt to send one message.
 type Outcome struct {
 	Message  *message.Message
 	Outcome  policy.Outcome
@@ -107,14 +109,15 @@
 	return Names{Classes: extend(n.Classes, more.Classes), Zones: extend(n.Zones, more.Zones)}
 }
 
-// Lists returns the lists of names, indexed by the kind that stores persist: 0 for classes, 1 for availability zones.
+// Lists returns the names of classes at index 0 and of availability zones at index 1. Stores persist these indexes.
 func (n *Names) Lists() []*[]string { return []*[]string{&n.Classes, &n.Zones} }
 
 // Recovered is the content of a store when it is opened.
 type Recovered struct {
-	// Pending contains the messages whose responses were not notified, in the order in which they were accepted. A message
-	// with a FinalResponse only needs to be notified; only its ID, Seq, Destination and FinalResponse are guaranteed to be
-	// set. In the history of any other message, an attempt that was outstanding counts as one that may have run.
+	// Pending contains the messages that are unfinished, or of whose response the client was not notified, in the order in
+	// which they were accepted. For a message with a FinalResponse only the notification is missing; only its ID, Seq,
+	// Destination and FinalResponse are guaranteed to be set. In the history of any other message, an attempt that was
+	// outstanding counts as one that may have run.
 	Pending []*message.Message
 	// EndpointHealth is the health of endpoints by name.
 	EndpointHealth map[string]*EndpointHealth
@@ -138,8 +141,8 @@
 // The states of an [Entry], as shown to operators.
 const (
 	StateRunning  = "running" // without a final response
-	StatePending  = "owed"    // with a final response that was not notified
-	StateNotified = "told"    // with a final response that was notified, or needs no notification
+	StatePending  = "owed"    // with a final response of which the client was not notified
+	StateNotified = "told"    // with a final response of which the client was notified, or need not be
 )
 
 // Entry describes the record of one message for operators.
@@ -154,28 +157,29 @@
 	Bytes       int        `json:"bytes,omitempty"` // of the body
 	Attempts    int        `json:"attempts"`
 	Outstanding bool       `json:"out,omitempty"`          // an attempt has no outcome
-	MayHaveRun  bool       `json:"may_have_run,omitempty"` // only while it is running
+	MayHaveRun  bool       `json:"may_have_run,omitempty"` // only if it is unfinished
 	Outcome     string     `json:"outcome,omitempty"`
 	RetryInMs   int64      `json:"retry_in_ms,omitempty"`
 	Completed   *time.Time `json:"ended,omitempty"`
 	Notified    *time.Time `json:"told,omitempty"`
 }
 
-// Store is a store of record. A call changes fields of its messages (Seq, History, FinalResponse) only before it returns,
-// and only the store changes these fields.
+// Store is a store of record. Only the store changes the fields Seq, History and FinalResponse of messages. A call changes
+// them only before it returns, except that a [Shared] store may later replace or remove a FinalResponse that is not
+// persisted.
 type Store interface {
 	// Accept persists a new message and assigns its sequence number. The message is durable when Accept returns nil;
 	// otherwise it is not accepted, and no later process recovers it (but see ErrUndecided). Ingresses call it before they
 	// respond to a client. It returns
-	//   - a [DuplicateError] if the id is on record, of an unfinished message or of a response that is still retained,
-	//   - ErrFull if there is no capacity for all records that the message may need until its response is notified,
-	//   - ErrUnavailable if the message could not be persisted before the context ended,
+	//   - a [DuplicateError] if the id is that of an unfinished message, or of one whose response is still retained,
+	//   - ErrFull if there is no capacity for all records that the message may need until its client is notified of the response,
+	//   - ErrUnavailable if the message could not be persisted, at the latest when the context ends,
 	//   - ErrFenced once another node owns this node's messages,
 	//   - ErrUndecided, from a store that implements [Late], if it is unknown when the context ends whether the message is
 	//     persisted.
 	Accept(ctx context.Context, m *message.Message) error
-	// RecordAttempt persists that messages are about to be sent in one call. Carriers call it before they send the first
-	// byte. The attempt is durable when RecordAttempt returns nil. After an error the call must not be made, although the
+	// RecordAttempt persists that messages are about to be sent in one call. It is called before the first byte is
+	// sent. The attempt is durable when RecordAttempt returns nil. After an error the call must not be made, although the
 	// attempt may still become part of the record. RecordAttempt returns ErrCompleted if one of the messages is completed,
 	// and ErrKeyExpired if one must no longer be sent at that time; in both cases no attempt is recorded for any of them.
 	// Its other errors are those of Complete.
@@ -186,20 +190,20 @@
 	// notifies deliveries then sets FinalResponse, and the message is pending until MarkNotified. Its errors are those of
 	// Complete.
 	RecordOutcome(ctx context.Context, o Outcome) error
-	// Complete persists final responses. They are durable when Complete returns nil, and must not be notified before that.
+	// Complete persists final responses. They are durable when Complete returns nil; clients must not be notified before that.
 	// A completed message keeps its first response: the call that completes the message sets FinalResponse, which remains
 	// nil if the client is not notified. Without completions, Complete is a barrier: when it returns nil, the store has
 	// persisted all earlier calls.
 	//
 	// Complete returns ErrFenced once another node owns this node's messages. That node decides their final responses, so
-	// FinalResponse is reset to nil unless the response was persisted or was notified as implied. Complete returns
+	// FinalResponse is reset to nil unless the response was persisted or is Implied (see [Shared]). Complete returns
 	// ErrUnavailable if the context ended before the responses were known to be durable; they may still become durable. It
 	// returns another error if the store is closed or can't write. A store that retries failed writes returns only when the
 	// write has succeeded, the context has ended or the store closes.
 	Complete(ctx context.Context, completions ...Completion) error
-	// MarkNotified records that final responses were notified and their messages are no longer pending. It is ordered when
-	// it returns, like RecordOutcome; if a crash loses the record, the responses are notified again. It returns ErrFenced
-	// once another node owns this node's messages, and another error if the store is closed or can't write.
+	// MarkNotified records that clients were notified of final responses, so that their messages are no longer pending. It
+	// is ordered when it returns, like RecordOutcome; if a crash loses the record, the clients are notified again. It returns
+	// ErrFenced once another node owns this node's messages, and another error if the store is closed or can't write.
 	MarkNotified(ctx context.Context, ms ...*message.Message) error
 	// Close makes all records durable and releases the store. No other method may be called after it.
 	Close() error
@@ -223,14 +227,14 @@
 // running nodes take over its messages.
 type Shared interface {
 	// OnTakeover sets two functions: capacity returns how many more messages the node can take over, and adopt receives the
-	// unfinished messages, the responses to notify and the health of endpoints of a node whose lease has expired. Each
-	// message is passed once, to one node. OnTakeover must be called before the first Accept; without it, the node takes
-	// over no messages.
+	// unfinished messages, the responses of which clients must be notified and the health of endpoints of a node whose
+	// lease has expired. Each message is passed once, to one node. OnTakeover must be called before the first Accept;
+	// without it, the node takes over no messages.
 	OnTakeover(capacity func() int, adopt func(Recovered))
-	// OnImplied sets the function that receives messages whose final responses are notified without being on record,
-	// while the store can't be reached. If a message's deadline passes within its owner's lease and it has no response on
-	// record when the lease expires, it has failed: every later owner decides this. Its owner may therefore notify the
-	// failure too, after the deadline. Such a response is marked Implied.
+	// OnImplied sets the function that receives messages of whose final responses clients are notified although they are
+	// not on record, while the store can't be reached. A message whose deadline is within its owner's lease, and that has no
+	// response on record when the lease expires, has failed: every later owner records that failure. Its owner may therefore
+	// notify the client of the failure too, after the deadline. Such a response is marked Implied.
 	OnImplied(func(*message.Message))
 	// Owned reports whether the lease is valid by this process's own clock. Because a process may have been paused, it
 	// checks Owned before it acts on an earlier record, for example before it sends the first byte of a call. Owned is not
