--- a/internal/store/group/backend.go
+++ b/internal/store/group/backend.go
@@ -21,7 +21,8 @@
 	// and the transaction is rolled back. A backend that does not know whether its commit succeeded must determine it
 	// before it returns.
 	Commit(batch []*Record) ([]error, error)
-	// Maintain does periodic maintenance. It is called about every maintenanceInterval, also under load.
+	// Maintain does periodic maintenance. It is called about every maintenanceInterval, also under load, but not between a
+	// failed transaction and the next successful one, and not while the queue is closing.
 	Maintain(now time.Time) error
 	// Full reports whether an error means that the database has no capacity left. It is safe for concurrent use, and does
 	// not block.
--- a/internal/store/group/group.go
+++ b/internal/store/group/group.go
@@ -1,6 +1,6 @@
-// Package group implements the database-independent part of a store of record by group commit: [Queue] decides each call
-// in memory, in the order of the calls, and queues its record. One goroutine writes the queued records in transactions of
-// many records.
+// Package group implements the database-independent part of a store of record by group commit: [Queue] checks each call
+// against its state in memory, in the order of the calls, and queues its record. One goroutine writes the queued records in
+// transactions of many records. The [Backend] decides whether a message is a duplicate.
 //
 // While the database can't be written, new messages are rejected immediately. All other records stay queued until they are
 // written; their number is bounded by the messages in flight.
@@ -14,7 +14,7 @@
 //
 // # Concurrency
 //
-// The methods of [Queue] are safe for concurrent use; its mutex guards the queue and all decisions. The writer's goroutine
+// The methods of [Queue] are safe for concurrent use; its mutex guards the queue and that state. The writer's goroutine
 // calls the [Backend] without the lock. A second goroutine runs if the backend is an [Implier]. Both end with Close.
 //
 // Start reading at [Queue] and its commit method. calls.go contains the methods of [store.Store].
@@ -32,8 +32,8 @@
 )
 
 const (
-	// maxBatchRecords and minBatchRecords bound the number of records in a transaction. The limit is halved after each failed
-	// transaction and doubled after each successful one: with a fixed limit, a database that is too slow for a full
+	// maxBatchRecords and minBatchRecords bound the limit on the records in a transaction. The limit is halved after each
+	// failed Commit and doubled after each successful one: with a fixed limit, a database that is too slow for a full
 	// transaction would never make progress.
 	maxBatchRecords, minBatchRecords = 512, 8
 	// acceptShareDivisor reserves 1/acceptShareDivisor of a transaction's records for messages to accept.
@@ -45,8 +45,8 @@
 	closeTimeout = 5 * time.Second
 	// maintenanceInterval is the time between two calls of Backend.Maintain.
 	maintenanceInterval = 200 * time.Millisecond
-	// impliedDelay is the minimum time between the message's deadline and the notification of its implied response. It is
-	// also the minimum time for which the response to replace must have been queued.
+	// impliedDelay is the minimum time between the message's deadline and the notification of its implied response. A
+	// response is also replaced only after it has been queued for impliedDelay.
 	impliedDelay = 100 * time.Millisecond
 	// impliedCheckInterval is the time between two searches for unwritten responses that the lease implies.
 	impliedCheckInterval = 25 * time.Millisecond
@@ -94,7 +94,7 @@
 	lastSeq        policy.MessageID
 	unfinished     map[policy.MessageID]*message.Message  // without a final response
 	unwritten      map[policy.MessageID]unwrittenResponse // see trackUnwritten
-	endpointHealth map[string]*store.EndpointHealth       // endpoints that have failed; lets only changes be written
+	endpointHealth map[string]*store.EndpointHealth       // of endpoints that have failed; shows whether an outcome changes it
 }
 
 // New returns a queue and starts its goroutines, which run until Close or until the node is fenced.
--- a/internal/store/group/record.go
+++ b/internal/store/group/record.go
@@ -33,7 +33,7 @@
 	Until               time.Time             // latest time at which the call is abandoned
 	EndpointHealth      *store.EndpointHealth // the endpoint's new health, nil if it did not change
 
-	state     recordState // guarded by the queue
+	state     recordState // guarded by Queue.mu
 	hasWaiter bool        // a caller waits for done
 	done      chan error  // receives the result; buffered, so that the writer does not block
 }
@@ -54,8 +54,8 @@
 	decided               // written, or rejected by the backend
 )
 
-// enqueue queues a record and wakes the writer. It is called with the lock held since the decision, so that records are
-// queued in the order of the decisions.
+// enqueue queues a record and wakes the writer. The caller has held the lock since it checked the call, so that records are
+// queued in the order of these checks.
 func (q *Queue) enqueue(r *Record) {
 	r.done = make(chan error, 1)
 	if r.Kind == Accept {
--- a/internal/store/group/writer.go
+++ b/internal/store/group/writer.go
@@ -237,8 +237,8 @@
 	return q.onLate, late
 }
 
-// rejectAccepts rejects the queued messages to accept, and with q.failure all later ones until a transaction succeeds:
-// clients must not wait for a database that currently can't be written.
+// rejectAccepts rejects the queued messages to accept. It also sets q.failure, so that later ones are rejected until a
+// transaction succeeds: clients must not wait for a database that currently can't be written.
 func (q *Queue) rejectAccepts(err error) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
--- a/internal/store/intents/replay.go
+++ b/internal/store/intents/replay.go
@@ -36,8 +36,8 @@
 }
 
 // replayIntents writes the intents in data to the store, up to the first unreadable one. It skips intents that the store
-// already has: those of completed messages, and attempts that are on record. It returns the numbers of the messages for
-// which it replayed a delivery.
+// already has: those of completed messages, and attempts that are on record. It returns the sequence numbers of the
+// messages for which it replayed a delivery.
 func (s *Store) replayIntents(ctx context.Context, data []byte, pending []*message.Message) (delivered map[policy.MessageID]bool, err error) {
 	messages := map[policy.MessageID]*message.Message{}
 	for _, m := range pending {
--- a/internal/store/intents/spill.go
+++ b/internal/store/intents/spill.go
@@ -9,7 +9,7 @@
 // catchUpRetryDelay is the pause after a barrier of the store has failed.
 const catchUpRetryDelay = time.Second
 
-// spill writes either all of the intents to the log or none of them, and starts waitForStore if it does not run. The cause
+// spill writes either all of the intents to the log or none of them, and starts waitForStore if it is not running. The cause
 // is the error of the store. spill returns nil if the intents are durable, otherwise the cause or an error that wraps it.
 func (s *Store) spill(cause error, intents []intent) error {
 	var b []byte
--- a/internal/store/sqlite/bench_test.go
+++ b/internal/store/sqlite/bench_test.go
@@ -133,8 +133,8 @@
 	return float64(n) / time.Since(start).Seconds()
 }
 
-// rawRate writes the same rows by the same statements without a store, in transactions of group messages, and returns the
-// messages per second.
+// rawRate writes the same rows by the same statements without a store, and returns the messages per second. The parameter
+// group is the number of messages in a transaction.
 func rawRate(t *testing.T, path string, d Durability, group, n, round int) float64 {
 	t.Helper()
 	s, _ := mustOpen(t, Config{Path: path, Durability: d, ResponseRetention: time.Hour, NotifyDelivered: true})
--- a/internal/store/sqlite/ids.go
+++ b/internal/store/sqlite/ids.go
@@ -40,7 +40,7 @@
 
 // segment is a sealed segment of final responses.
 type segment struct {
-	n        int64
+	n        int64 // number of the segment
 	retained int64 // number of its responses that are still on record
 	column   column
 }
@@ -159,8 +159,8 @@
 		g.column = x.filter.add(hashes)
 		x.openSegment = g.n + 1
 	}
-	// Read the responses that are not in a sealed segment. Segments that a migration has created are in the order of their
-	// sequence numbers.
+	// Read the responses that are not in a sealed segment. A migration has numbered the segments in the order of the
+	// responses' sequence numbers.
 	st, _, err := s.conn.Prepare("SELECT seq, id, segment FROM answer WHERE seq >= ?1 AND segment >= ?2 ORDER BY seq")
 	if err != nil {
 		return err
@@ -183,8 +183,8 @@
 	return st.Err()
 }
 
-// seal writes the buckets of the open segment in a separate transaction, and opens the next segment. No response that is
-// recorded later has a sequence number below next.
+// seal writes the buckets of the open segment in a separate transaction, and opens the next segment. next must not exceed
+// the sequence number of any response of a later segment: loadIDs reads the unsealed responses from there.
 func (s *backend) seal(next int64) (err error) {
 	x := &s.ids
 	all := x.recent.entries()
@@ -269,7 +269,7 @@
 	return seqs, nil
 }
 
-// responseBySeq returns the final response with a sequence number. It returns nil if there is none or its id is another one.
+// responseBySeq returns the final response with a sequence number. It returns nil if there is none or its id differs.
 func (s *backend) responseBySeq(seq int64, id string) (*message.FinalResponse, error) {
 	st := s.st.findResponse
 	if err := bind(st, seq); err != nil {
--- a/internal/store/sqlite/ids_test.go
+++ b/internal/store/sqlite/ids_test.go
@@ -52,8 +52,8 @@
 	})
 }
 
-// Across many segments, restarts and sweeps, an id is a duplicate for exactly as long as its response is on record, and new
-// afterwards.
+// Across many segments, restarts and sweeps, an id is a duplicate for exactly as long as its response is on record, and
+// is accepted again afterwards.
 func TestIDIsDuplicateWhileResponseIsOnRecord(t *testing.T) {
 	c := config(t.TempDir())
 	c.segment = 16
@@ -121,8 +121,8 @@
 	testkit.Must(t, db.Close())
 }
 
-// After a file with the schema version before segments is migrated, the ids in it are found. It contains more responses than
-// one segment.
+// The ids in a file that was migrated from the schema without segments are found. The file contains more responses than one
+// segment.
 func TestIDsOfMigratedFileAreFound(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "old.db")
 	db, err := sqlite3.Open("file:" + path)
--- a/internal/store/sqlite/inspect.go
+++ b/internal/store/sqlite/inspect.go
@@ -26,8 +26,8 @@
 	conn *sqlite3.Conn
 }
 
-// Inspect opens the file of a store for reading. It returns an error if the file is not a store, or if its schema is not the
-// one of this program.
+// Inspect opens the file of a store, for reading and writing although it does not change it. It returns an error if the file
+// is not a store, or if its schema is not the one of this program.
 func Inspect(path string) (*Inspector, error) {
 	c, err := sqlite3.OpenFlags("file:"+path, sqlite3.OPEN_READWRITE|sqlite3.OPEN_URI)
 	if err != nil {
--- a/internal/store/sqlite/maintain.go
+++ b/internal/store/sqlite/maintain.go
@@ -45,7 +45,8 @@
 		return nil, err
 	}
 	if read < maxSweptRows || len(expired) == 0 {
-		s.lastSwept = 0 // start again from the oldest: rows after retained ones are newer
+		// Start again from the oldest: there are no more rows, or they are newer than these, none of which has expired.
+		s.lastSwept = 0
 	}
 	return expired, nil
 }
--- a/internal/store/sqlite/schema.go
+++ b/internal/store/sqlite/schema.go
@@ -95,7 +95,7 @@
 	ALTER TABLE meta ADD COLUMN seed INTEGER NOT NULL DEFAULT 0; -- of the hash
 	UPDATE meta SET seed = random();`, maxSegmentResponses),
 
-	// The names of the numbers of classes and zones in records, see store.Names.
+	// The names of classes and zones, which records refer to by number; see store.Names.
 	`CREATE TABLE name (
 		kind INTEGER NOT NULL,
 		n    INTEGER NOT NULL,
--- a/internal/store/sqlite/sqlite.go
+++ b/internal/store/sqlite/sqlite.go
@@ -98,7 +98,7 @@
 	ids       idIndex
 	commits   int64 // number of commits in the file
 	nextSweep time.Time
-	lastSwept int64                     // the last seq that findExpired has read
+	lastSwept int64                     // the last seq that findExpired has read, 0 to start from the oldest
 	closing   atomic.Pointer[time.Time] // when overwrite must stop retrying, set by Closing; safe for concurrent use
 }
 
--- a/internal/store/sqlite/trouble_test.go
+++ b/internal/store/sqlite/trouble_test.go
@@ -168,8 +168,9 @@
 	}
 }
 
-// While another writer has locked the file, new messages are rejected: the first one when its context ends, later ones
-// immediately. Rejected messages are never recovered. All other records are written once, when the lock is released.
+// While another writer has locked the file, new messages are rejected: the first one when the writer fails to begin a
+// transaction, later ones immediately. Rejected messages are never recovered. All other records are written once, when the
+// lock is released.
 func TestLockedFileRejectsAcceptsAndDelaysUpdates(t *testing.T) {
 	c := config(t.TempDir())
 	s, _ := mustOpen(t, c)
@@ -290,8 +291,8 @@
 	unlock()
 }
 
-// After their retention, final responses are deleted in several transactions, and their ids are new again. Pending responses
-// are never deleted, and a crash between the transactions loses none of them.
+// After their retention, final responses are deleted in several transactions, and their ids are accepted again. Pending
+// responses are never deleted, and a crash between the transactions loses none of them.
 func TestRetentionDeletesOnlyNotifiedResponses(t *testing.T) {
 	c := config(t.TempDir())
 	c.ResponseRetention = 0
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -2,8 +2,8 @@
 // attempts to send them, and the one final response of each message.
 //
 // A store guarantees the following:
-//   - A restarted node recovers every message whose [Store.Accept] returned nil and whose client was not notified of the
-//     response.
+//   - A restarted node recovers every message whose [Store.Accept] returned nil and whose client was not
+//     notified of the response.
 //   - The recovered history of a message has an attempt for every call of which a byte may have been sent.
 //   - A message that is completed on record never becomes unfinished again.
 //   - Records of one message are applied in the order of their calls. A crash loses at most a tail of the records whose calls
@@ -172,7 +172,7 @@
 	// otherwise it is not accepted, and no later process recovers it (but see ErrUndecided). Ingresses call it before they
 	// respond to a client. It returns
 	//   - a [DuplicateError] if the id is that of an unfinished message, or of one whose response is still retained,
-	//   - ErrFull if there is no capacity for all records that the message may need until its client is notified of the response,
+	//   - ErrFull if there is no capacity for all records that the message may need until its client is notified,
 	//   - ErrUnavailable if the message could not be persisted, at the latest when the context ends,
 	//   - ErrFenced once another node owns this node's messages,
 	//   - ErrUndecided, from a store that implements [Late], if it is unknown when the context ends whether the message is
@@ -190,7 +190,8 @@
 	// notifies deliveries then sets FinalResponse, and the message is pending until MarkNotified. Its errors are those of
 	// Complete.
 	RecordOutcome(ctx context.Context, o Outcome) error
-	// Complete persists final responses. They are durable when Complete returns nil; clients must not be notified before that.
+	// Complete persists final responses. They are durable when Complete returns nil, and clients must not be notified
+	// before that.
 	// A completed message keeps its first response: the call that completes the message sets FinalResponse, which remains
 	// nil if the client is not notified. Without completions, Complete is a barrier: when it returns nil, the store has
 	// persisted all earlier calls.
