--- a/internal/egress/http1/connection.go
+++ b/internal/egress/http1/connection.go
@@ -171,8 +171,8 @@
 	surplus, _ := c.reader.Peek(c.reader.Buffered()) // can't fail
 	r.reusable = !resp.Close && len(surplus) == 0
 	// Bytes after a response other than 200 may belong to a body longer than its Content-Length. Such a
-	// response is not trusted when it says that the call did not run, so it counts as invalid. A second
-	// copy of the response is harmless, and so are any bytes after a response with status 200.
+	// response does not prove that the call did not run, so it counts as invalid. A second copy of the
+	// response is harmless, and so are any bytes after a response with status 200.
 	if status != http.StatusOK && len(surplus) > 0 && !bytes.HasPrefix(surplus, []byte("HTTP/1.")) {
 		return r, fmt.Errorf("%w: %d surplus bytes after the response", errInvalidResponse, len(surplus))
 	}
