--- a/policy/settings.go
+++ b/policy/settings.go
@@ -169,8 +169,8 @@
 // TagBits is the size of a [Tag] in bits.
 const TagBits = 22
 
-// Tag identifies an endpoint in a message between senders. It is short because each report goes to all
-// nodes. In rare cases two endpoints have the same tag.
+// Tag identifies an endpoint in a message between senders. It is short because each bit of such a message has
+// a cost. In rare cases two endpoints have the same tag.
 type Tag uint32
 
 // tagMultiplier is 2^64 divided by the golden ratio: its products with close IDs differ in their high bits.
