--- a/internal/engine/directory.go
+++ b/internal/engine/directory.go
@@ -58,7 +58,7 @@
 	}
 	if endpoint == nil && state != policy.Ready {
 		// An endpoint that is draining in its first entry gets no messages: an earlier process may have received the
-		// notice, and the drain grace may be over.
+		// drain notice, and the drain grace may be over.
 		return policy.Entry{}, false
 	}
 	if endpoint == nil {
@@ -146,7 +146,7 @@
 	e.deps.Observations.SetEndpoints(all)
 }
 
-// publishDestinations passes the existing destinations to the admission if they have changed. A destination exists if it
+// publishDestinations passes the known destinations to Admission if they have changed. A destination is known if it
 // has an endpoint, or had one within vacantRetention.
 func (e *Engine) publishDestinations() {
 	if !e.destinationsChanged {
--- a/internal/engine/events.go
+++ b/internal/engine/events.go
@@ -70,7 +70,7 @@
 	return a
 }
 
-// observeAttempt updates the endpoint of a completed attempt, and reports the outcome to the admission and to peers.
+// observeAttempt updates the endpoint of a completed attempt, and reports the outcome to Admission and to peers.
 func (e *Engine) observeAttempt(completed policy.AttemptCompleted) {
 	endpoint := e.endpoints[completed.Endpoint]
 	if endpoint == nil {
@@ -98,7 +98,8 @@
 	if leftToNextOwner(e.deps.Store, a.StoreErr) {
 		return
 	}
-	if m.FinalResponse != nil && !m.FinalResponse.Implied { // the store sets FinalResponse if deliveries are announced
+	// For a delivered message the store sets FinalResponse only if clients are notified of deliveries.
+	if m.FinalResponse != nil && !m.FinalResponse.Implied {
 		e.deps.Notifier.Add(m)
 	}
 }
