--- a/internal/store/group/group_test.go
+++ b/internal/store/group/group_test.go
@@ -193,7 +193,8 @@
 		t.Errorf("during its transaction: got %v, want ErrUndecided", err)
 	}
 	b.release <- errors.New("commit failed")
-	b.commitUntil(t, func() bool { return q.Failure() == nil && q.Pending() == 0 })
+	// Pending first: the record leaves the queue in the step that sets the failure.
+	b.commitUntil(t, func() bool { return q.Pending() == 0 && q.Failure() == nil })
 	if len(late) != 0 {
 		t.Errorf("OnLate: got message %s, want none", (<-late).ID)
 	}
